--- a/workload/service/accept.go
+++ b/workload/service/acceptances.go
@@ -22,19 +22,19 @@
 // both.
 type acceptances struct {
 	// homes is the number of topics that are homes; there are two topics at the least.
-	homes   int
-	topics  []*follower
-	commits []*committer
+	homeTopics int
+	topics     []*follower
+	committers []*committer
 }
 
 func newAcceptances(homes int, log Log, follow func(Topic) *follower) *acceptances {
-	a := &acceptances{homes: min(max(1, homes), MostAcceptTopics)}
-	n := max(2, a.homes)
+	a := &acceptances{homeTopics: min(max(1, homes), MostAcceptTopics)}
+	n := max(2, a.homeTopics)
 	for i := range n {
 		a.topics = append(a.topics, follow(AcceptTopic(i)))
 	}
-	for i := range a.homes {
-		a.commits = append(a.commits, newCommitter(log, AcceptTopic(i), AcceptTopic((i+1)%n)))
+	for i := range a.homeTopics {
+		a.committers = append(a.committers, newCommitter(log, AcceptTopic(i), AcceptTopic((i+1)%n)))
 	}
 	return a
 }
@@ -45,22 +45,22 @@
 }
 
 // homeOf is the number of a job's home topic.
-func (a *acceptances) homeOf(id workload.JobID) int {
+func (a *acceptances) homeIndex(id workload.JobID) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
-	return int(h.Sum32() % uint32(a.homes))
+	return int(h.Sum32() % uint32(a.homeTopics))
 }
 
 // of returns the two topics that may have a job's records.
-func (a *acceptances) of(id workload.JobID) []*follower {
-	home := a.homeOf(id)
+func (a *acceptances) topicsOf(id workload.JobID) []*follower {
+	home := a.homeIndex(id)
 	return []*follower{a.topics[home], a.topics[(home+1)%len(a.topics)]}
 }
 
 // run writes what is added, until ctx ends.
 func (a *acceptances) run(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, c := range a.commits {
+	for _, c := range a.committers {
 		group.Go(func() { c.run(ctx) })
 	}
 	group.Wait()
@@ -68,13 +68,13 @@
 
 // add writes a record of a job (see committer.add).
 func (a *acceptances) add(ctx context.Context, id workload.JobID, record control.Record) error {
-	return a.commits[a.homeOf(id)].add(ctx, record)
+	return a.committers[a.homeIndex(id)].add(ctx, record)
 }
 
 // look reads the topics that may have a job's records to their end.
-func (a *acceptances) look(ctx context.Context, id workload.JobID) error {
-	for _, f := range a.of(id) {
-		if err := f.look(ctx); err != nil {
+func (a *acceptances) catchUp(ctx context.Context, id workload.JobID) error {
+	for _, f := range a.topicsOf(id) {
+		if err := f.catchUp(ctx); err != nil {
 			return err
 		}
 	}
@@ -89,9 +89,9 @@
 	return out
 }
 
-func (a *acceptances) youngest(now time.Time) time.Duration { return slices.Min(a.ages(now)) }
+func (a *acceptances) minAge(now time.Time) time.Duration { return slices.Min(a.ages(now)) }
 
-func (a *acceptances) oldest(now time.Time) time.Duration { return slices.Max(a.ages(now)) }
+func (a *acceptances) maxAge(now time.Time) time.Duration { return slices.Max(a.ages(now)) }
 
 // upToDate tells whether all topics are followed and were read to their end.
 func (a *acceptances) upToDate() bool {
@@ -99,28 +99,28 @@
 }
 
 // places are the offsets up to which the topics were read.
-func (a *acceptances) places() []int64 {
+func (a *acceptances) offsets() []int64 {
 	out := make([]int64, len(a.topics))
 	for i, f := range a.topics {
-		out[i] = f.place()
+		out[i] = f.offset()
 	}
 	return out
 }
 
 // cover notes that what stands before the offsets is known from elsewhere.
-func (a *acceptances) cover(offsets []int64) {
+func (a *acceptances) skipTo(offsets []int64) {
 	for i := range min(len(offsets), len(a.topics)) {
-		a.topics[i].cover(offsets[i])
+		a.topics[i].skipTo(offsets[i])
 	}
 }
 
 // mayHave sorts records of jobs by the topics that may have them: the home of each,
 // and the next one if anything was ever written there.
-func (a *acceptances) mayHave(records []control.Record) map[Topic][]control.Record {
+func (a *acceptances) groupByTopic(records []control.Record) map[Topic][]control.Record {
 	out := map[Topic][]control.Record{}
 	for _, r := range records {
-		for i, f := range a.of(workload.IDOfKey(r.Key)) {
-			if i == 0 || f.place() > 0 {
+		for i, f := range a.topicsOf(workload.IDOfKey(r.Key)) {
+			if i == 0 || f.offset() > 0 {
 				out[f.topic] = append(out[f.topic], r)
 			}
 		}
--- a/workload/service/answers.go
+++ b/workload/service/adaptive_timeout.go
@@ -17,18 +17,18 @@
 
 const (
 	// answerFactor is how many times the mean an answer may take.
-	answerFactor = 10
-	leastAnswer  = 200 * time.Millisecond
-	mostAnswer   = 600 * time.Millisecond
+	timeoutFactor     = 10
+	minTimeout        = 200 * time.Millisecond
+	defaultMaxTimeout = 600 * time.Millisecond
 	// answerWeight is the share of one more answer in the mean.
-	answerWeight = 0.1
+	meanWeight = 0.1
 )
 
 // Observe takes one order's time; an order without an answer counts with the
 // time that it was given.
 func (a *AnswerTimes) Observe(took time.Duration) {
 	a.mu.Lock()
-	a.mean += time.Duration(answerWeight * float64(took-a.mean))
+	a.mean += time.Duration(meanWeight * float64(took-a.mean))
 	a.mu.Unlock()
 }
 
@@ -38,7 +38,7 @@
 	defer a.mu.Unlock()
 	most := a.Most
 	if most == 0 {
-		most = mostAnswer
+		most = defaultMaxTimeout
 	}
-	return min(most, max(leastAnswer, answerFactor*a.mean))
+	return min(most, max(minTimeout, timeoutFactor*a.mean))
 }
--- a/workload/service/pulse.go
+++ b/workload/service/broadcast.go
@@ -7,14 +7,14 @@
 )
 
 // pulse wakes all that wait for it at once. The nil pulse never beats.
-type pulse struct {
+type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-func newPulse() *pulse { return &pulse{next: make(chan struct{})} }
+func newBroadcast() *broadcast { return &broadcast{next: make(chan struct{})} }
 
-func (p *pulse) beat() {
+func (p *broadcast) notifyAll() {
 	if p == nil {
 		return
 	}
@@ -25,7 +25,7 @@
 }
 
 // wait returns at the next beat, or after a time.
-func (p *pulse) wait(ctx context.Context, most time.Duration) {
+func (p *broadcast) wait(ctx context.Context, most time.Duration) {
 	if p == nil {
 		sleep(ctx, most)
 		return
--- a/workload/service/commit.go
+++ b/workload/service/committer.go
@@ -16,39 +16,39 @@
 	// home is the topic that is written to, other the one that takes its place where
 	// that fails or is slow.
 	home, other Topic
-	queue       chan *commit
+	queue       chan *pendingRecord
 	// times learns how long the log takes, so that the other topic is tried in
 	// time where one is down.
-	times AnswerTimes
+	timeout AnswerTimes
 	// spare tells that the spare topic served last; it is tried first then.
-	spare atomic.Bool
+	otherFirst atomic.Bool
 	// flight bounds the appends under way, so that a slow one does not hold up
 	// those behind it.
-	flight chan struct{}
+	inFlight chan struct{}
 }
 
-type commit struct {
+type pendingRecord struct {
 	record control.Record
 	ctx    context.Context
 	done   chan error
 }
 
 const (
-	commitBatch  = 64
-	commitFlight = 4
-	commitTry    = 2 * time.Second
-	commitPause  = 40 * time.Millisecond
-	commitTries  = 3
+	maxCommitBatch       = 64
+	maxAppendsInFlight   = 4
+	commitAttemptTimeout = 2 * time.Second
+	commitRetryPause     = 40 * time.Millisecond
+	minCommitAttempts    = 3
 )
 
 func newCommitter(log Log, home, other Topic) *committer {
-	return &committer{log: log, home: home, other: other, times: AnswerTimes{Most: commitTry}, queue: make(chan *commit, 1024), flight: make(chan struct{}, commitFlight)}
+	return &committer{log: log, home: home, other: other, timeout: AnswerTimes{Most: commitAttemptTimeout}, queue: make(chan *pendingRecord, 1024), inFlight: make(chan struct{}, maxAppendsInFlight)}
 }
 
 // add writes a record and returns once it is in the log, or with ErrNotDone if
 // it certainly is not and will not be, or with ErrUnknown.
 func (c *committer) add(ctx context.Context, record control.Record) error {
-	one := &commit{record: record, ctx: ctx, done: make(chan error, 1)}
+	one := &pendingRecord{record: record, ctx: ctx, done: make(chan error, 1)}
 	select {
 	case c.queue <- one:
 	default:
@@ -69,18 +69,18 @@
 			return
 		case first := <-c.queue:
 			batch := c.gather(first)
-			c.flight <- struct{}{}
+			c.inFlight <- struct{}{}
 			go func() {
-				defer func() { <-c.flight }()
+				defer func() { <-c.inFlight }()
 				c.write(ctx, batch)
 			}()
 		}
 	}
 }
 
-func (c *committer) gather(first *commit) []*commit {
-	batch := []*commit{first}
-	for len(batch) < commitBatch {
+func (c *committer) gather(first *pendingRecord) []*pendingRecord {
+	batch := []*pendingRecord{first}
+	for len(batch) < maxCommitBatch {
 		select {
 		case more := <-c.queue:
 			batch = append(batch, more)
@@ -94,40 +94,40 @@
 // write repeats an append until it succeeds. Records are idempotent, so that a
 // repetition of one that had no answer does no harm. Only a series of refusals
 // that all say so proves that nothing was done.
-func (c *committer) write(ctx context.Context, batch []*commit) {
+func (c *committer) write(ctx context.Context, batch []*pendingRecord) {
 	records := make([]control.Record, len(batch))
 	for i, one := range batch {
 		records[i] = one.record
 	}
 	unknown := false
 	for try := 1; ; try++ {
-		err := c.either(ctx, records)
+		err := c.appendEither(ctx, records)
 		if err == nil {
-			finish(batch, nil)
+			finishAll(batch, nil)
 			return
 		}
 		unknown = unknown || !errors.Is(err, ErrNotDone)
-		if try >= commitTries && !unknown {
-			finish(batch, err)
+		if try >= minCommitAttempts && !unknown {
+			finishAll(batch, err)
 			return
 		}
-		if ctx.Err() != nil || nobodyWaits(batch) {
-			finish(batch, errors.Mark(errors.Newf("the append was given up: %v", err), ErrUnknown))
+		if ctx.Err() != nil || allAbandoned(batch) {
+			finishAll(batch, errors.Mark(errors.Newf("the append was given up: %v", err), ErrUnknown))
 			return
 		}
-		sleep(ctx, commitPause*time.Duration(min(try, 5)))
+		sleep(ctx, commitRetryPause*time.Duration(min(try, 5)))
 	}
 }
 
 // either appends to the topic that served last, and to the other one too if that
 // fails or takes long. It fails with ErrNotDone only if both did nothing.
-func (c *committer) either(ctx context.Context, records []control.Record) error {
-	ctx, cancel := context.WithTimeout(ctx, commitTry)
+func (c *committer) appendEither(ctx context.Context, records []control.Record) error {
+	ctx, cancel := context.WithTimeout(ctx, commitAttemptTimeout)
 	defer cancel()
-	spare := c.spare.Load()
-	results := make(chan attempt, 2)
+	spare := c.otherFirst.Load()
+	results := make(chan appendResult, 2)
 	go c.append(ctx, spare, records, results)
-	slow := time.NewTimer(c.times.Patience())
+	slow := time.NewTimer(c.timeout.Patience())
 	defer slow.Stop()
 	silent := make(chan bool, 1)
 	var failed error
@@ -136,14 +136,14 @@
 		case a := <-results:
 			running--
 			if a.err == nil {
-				c.spare.Store(a.spare)
+				c.otherFirst.Store(a.toOther)
 				return nil
 			}
 			if failed == nil || errors.Is(failed, ErrNotDone) {
 				failed = a.err
 			}
 		case <-slow.C:
-			go c.ask(ctx, c.topic(spare), silent)
+			go c.probe(ctx, c.topic(spare), silent)
 			continue
 		case is := <-silent:
 			if !is {
@@ -163,15 +163,15 @@
 // append in its line, or its answer was lost; to have it made in the other topic as well
 // would lengthen the line there. While the log was eighty times slower than usual, both
 // topics took each acceptance, and within a second none was answered in time.
-func (c *committer) ask(ctx context.Context, topic Topic, silent chan<- bool) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (c *committer) probe(ctx context.Context, topic Topic, silent chan<- bool) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	silent <- c.log.Probe(ctx, topic) != nil
 }
 
 // askTime is how long an answer to a read is waited for: as long as a log that is a
 // hundred times slower than usual takes.
-const askTime = 400 * time.Millisecond
+const probeTimeout = 400 * time.Millisecond
 
 func (c *committer) topic(spare bool) Topic {
 	if spare {
@@ -181,21 +181,21 @@
 }
 
 // attempt is what came of one append.
-type attempt struct {
-	spare bool
-	err   error
+type appendResult struct {
+	toOther bool
+	err     error
 }
 
-func (c *committer) append(ctx context.Context, spare bool, records []control.Record, results chan<- attempt) {
+func (c *committer) append(ctx context.Context, spare bool, records []control.Record, results chan<- appendResult) {
 	began := time.Now()
 	_, err := c.log.Append(ctx, c.topic(spare), records, nil)
 	if err == nil {
-		c.times.Observe(time.Since(began))
+		c.timeout.Observe(time.Since(began))
 	}
-	results <- attempt{spare, err}
+	results <- appendResult{spare, err}
 }
 
-func nobodyWaits(batch []*commit) bool {
+func allAbandoned(batch []*pendingRecord) bool {
 	for _, one := range batch {
 		if one.ctx.Err() == nil {
 			return false
@@ -204,7 +204,7 @@
 	return true
 }
 
-func finish(batch []*commit, err error) {
+func finishAll(batch []*pendingRecord, err error) {
 	for _, one := range batch {
 		one.done <- err
 	}
--- a/workload/service/role.go
+++ b/workload/service/election.go
@@ -13,46 +13,46 @@
 	// claimTimeout bounds a claim; one without an answer may be carried out later.
 	claimTimeout = time.Second
 	// electEvery is how often it is looked whether the role can be had.
-	electEvery = 50 * time.Millisecond
+	electionInterval = 50 * time.Millisecond
 )
 
 // elect claims the planner's role when it is due, and plays it.
 func (s *Service) elect(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, electEvery)
-		s.tryRole(ctx)
+		sleep(ctx, electionInterval)
+		s.tryPlanning(ctx)
 	}
 }
 
 // tryRole plays the planner's role if this instance has it, or can claim it now.
-func (s *Service) tryRole(ctx context.Context) {
-	s.role.Lock()
-	defer s.role.Unlock()
+func (s *Service) tryPlanning(ctx context.Context) {
+	s.roleMu.Lock()
+	defer s.roleMu.Unlock()
 	if s.leaving.Load() {
 		return
 	}
-	token, mine := s.succession.mine()
-	if !mine && s.mayClaim() {
+	token, mine := s.succession.heldToken()
+	if !mine && s.canClaim() {
 		token, mine = s.claim(ctx)
 	}
 	// A claim that had no answer may be carried out, and be read, at any later time.
-	if mine && s.readFor(token) {
-		s.playPlanner(ctx, token)
+	if mine && s.caughtUpTo(token) {
+		s.runPlanner(ctx, token)
 	}
 }
 
 // current tells whether all that a planner takes over is followed and was read to its end.
-func (s *Service) current() bool {
-	return s.plans.connected() && s.plans.upToDate() && s.accepts.upToDate() && s.directory.Load() != nil && s.book.Complete()
+func (s *Service) caughtUp() bool {
+	return s.plans.connected() && s.plans.upToDate() && s.acceptances.upToDate() && s.directory.Load() != nil && s.book.Complete()
 }
 
 // readFor tells whether all that was written before the claim with a token is known here.
-func (s *Service) readFor(token int64) bool {
-	return s.current() && s.plans.place() >= token-1
+func (s *Service) caughtUpTo(token int64) bool {
+	return s.caughtUp() && s.plans.offset() >= token-1
 }
 
-func (s *Service) mayClaim() bool {
-	return s.succession.due(s.clock.Now()) && s.current()
+func (s *Service) canClaim() bool {
+	return s.succession.isClaimDue(s.clock.Now()) && s.caughtUp()
 }
 
 // claim claims the planner's role and returns the token; ok is false where the claim failed
@@ -60,10 +60,10 @@
 func (s *Service) claim(ctx context.Context) (token int64, ok bool) {
 	attempt, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	token, err := s.succession.take(attempt, s.log, s.plans.place())
+	token, err := s.succession.claim(attempt, s.log, s.plans.offset())
 	if err != nil {
 		s.events.Info(events.ClaimFailed, events.Fields{"cause": err.Error()})
-		s.succession.failed(s.clock.Now())
+		s.succession.claimFailed(s.clock.Now())
 		return 0, false
 	}
 	s.events.Info(events.ClaimTaken, events.Fields{"token": token})
--- a/workload/service/evacuated.go
+++ b/workload/service/evacuations.go
@@ -8,15 +8,15 @@
 
 // evacuated keeps the data centres that operators have asked to get nothing new. It is
 // safe for concurrent use: the reader of declarations writes it, the planner reads it.
-type evacuated struct {
+type evacuations struct {
 	mu      sync.Mutex
 	centres map[string]bool
 }
 
-func newEvacuated() *evacuated { return &evacuated{centres: map[string]bool{}} }
+func newEvacuations() *evacuations { return &evacuations{centres: map[string]bool{}} }
 
 // replace takes all requests that stand.
-func (v *evacuated) replace(centres []string) {
+func (v *evacuations) replace(centres []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.centres = map[string]bool{}
@@ -26,7 +26,7 @@
 }
 
 // set takes one request, or takes it back.
-func (v *evacuated) set(centre string, asked bool) {
+func (v *evacuations) set(centre string, asked bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if asked {
@@ -37,7 +37,7 @@
 }
 
 // list returns the data centres in order.
-func (v *evacuated) list() []string {
+func (v *evacuations) list() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return slices.Sorted(maps.Keys(v.centres))
--- a/workload/service/follow.go
+++ b/workload/service/follower.go
@@ -22,51 +22,51 @@
 	pause func() time.Duration
 	// period returns the least time from one read to the next, whatever they bring; nil
 	// is none.
-	period func() time.Duration
+	interval func() time.Duration
 	// snapshot takes the newest record of each key; entries then follow one by
 	// one through record.
-	snapshot func(entries []Entry)
-	record   func(e Entry)
+	applyAll func(entries []Entry)
+	applyOne func(e Entry)
 	// paged follows the records of each page; nil is nothing.
-	paged func()
+	afterPage func()
 	// lost and regained report the state of the connection.
-	changed func(topic Topic, ok bool, cause string)
+	connectionChanged func(topic Topic, ok bool, cause string)
 
 	// looked is when the last look began; looking guards it.
-	looking sync.Mutex
-	looked  time.Time
+	catchUpMu   sync.Mutex
+	lastCatchUp time.Time
 
 	// retry is the pause after a read that failed, unless the log served another
 	// topic meanwhile, which back tells.
-	retry time.Duration
-	back  *pulse
-	clock clock.Clock
+	retry        time.Duration
+	logRecovered *broadcast
+	clock        clock.Clock
 	// newest is the first read as far as it has come; only run uses it.
-	newest firstRead
+	snapshot snapshotReader
 
-	mu   sync.Mutex
-	good time.Time
-	next int64
-	ok   bool
+	mu          sync.Mutex
+	readToEndAt time.Time
+	next        int64
+	healthy     bool
 	// follows tells that run reads the topic, caught that it has read all since it
 	// began.
-	follows, caught bool
+	isFollowing, caughtUp bool
 	// told tells that the state of the connection was reported at all.
-	told bool
+	reported bool
 	// handed has the offset of the newest record of each key that was handed over.
-	handed map[string]int64
+	keyOffsets map[string]int64
 }
 
 const (
-	followRetry = 150 * time.Millisecond
+	readRetryPause = 150 * time.Millisecond
 	// restRetry is the pause of the topics that don't find out whether the log is
 	// back. While it is away every read of every instance is a call for nothing.
-	restRetry = 4 * followRetry
+	slowReadRetryPause = 4 * readRetryPause
 	// forgottenRest is the pause before the newest records are read again where the log has
 	// forgotten what came after them; it doubles up to forgottenMost. Each such read is of the
 	// whole topic.
-	forgottenRest = 50 * time.Millisecond
-	forgottenMost = 400 * time.Millisecond
+	minSnapshotRetryPause = 50 * time.Millisecond
+	maxSnapshotRetryPause = 400 * time.Millisecond
 )
 
 // run follows until ctx ends.
@@ -80,13 +80,13 @@
 		began := time.Now()
 		switch {
 		case fresh:
-			err = f.readNewest(ctx)
+			err = f.readSnapshot(ctx)
 		case failed:
 			// A log that is back tells at once that there is no news, not after a wait:
 			// until then nothing is accepted here.
-			rest, err = f.readOn(ctx, 0)
+			rest, err = f.readNext(ctx, 0)
 		default:
-			rest, err = f.readOn(ctx, f.wait())
+			rest, err = f.readNext(ctx, f.wait())
 		}
 		failed = err != nil
 		switch {
@@ -95,59 +95,59 @@
 				anew = 0
 			}
 			fresh = false
-			sleep(ctx, max(rest, f.least()-time.Since(began)))
+			sleep(ctx, max(rest, f.minInterval()-time.Since(began)))
 		case errors.Is(err, ErrForgotten):
 			fresh = true
-			sleep(ctx, restOfAnew(anew))
+			sleep(ctx, snapshotRetryPause(anew))
 			anew++
 		case errors.Is(err, ErrMalformed):
 			// The newest records are another answer: nothing is lost with this one.
 			fresh = true
-			f.newest = firstRead{}
-			f.report(false, err.Error())
-			sleep(ctx, followRetry)
+			f.snapshot = snapshotReader{}
+			f.reportConnection(false, err.Error())
+			sleep(ctx, readRetryPause)
 		default:
-			f.report(false, err.Error())
-			f.back.wait(ctx, f.retry)
+			f.reportConnection(false, err.Error())
+			f.logRecovered.wait(ctx, f.retry)
 		}
 	}
 }
 
 // restOfAnew is the pause before the newest records are read once more; none before the first time.
-func restOfAnew(times int) time.Duration {
+func snapshotRetryPause(times int) time.Duration {
 	if times == 0 {
 		return 0
 	}
-	return min(forgottenRest<<min(times-1, 10), forgottenMost)
+	return min(minSnapshotRetryPause<<min(times-1, 10), maxSnapshotRetryPause)
 }
 
-func (f *follower) least() time.Duration {
-	if f.period == nil {
+func (f *follower) minInterval() time.Duration {
+	if f.interval == nil {
 		return 0
 	}
-	return f.period()
+	return f.interval()
 }
 
 // readNewest reads the newest record of each key and hands them over once all
 // are there.
-func (f *follower) readNewest(ctx context.Context) error {
-	if err := f.newest.read(ctx, f.log, f.topic, f.clock); err != nil {
+func (f *follower) readSnapshot(ctx context.Context) error {
+	if err := f.snapshot.read(ctx, f.log, f.topic, f.clock); err != nil {
 		return err
 	}
-	got := f.newest
-	f.newest = firstRead{}
-	f.takeWhole(got)
+	got := f.snapshot
+	f.snapshot = snapshotReader{}
+	f.applySnapshot(got)
 	f.mu.Lock()
-	f.caught = true
+	f.caughtUp = true
 	f.mu.Unlock()
 	return nil
 }
 
 // readOn reads the next page and returns how long to rest after it: not at all
 // before the topic's end.
-func (f *follower) readOn(ctx context.Context, wait time.Duration) (time.Duration, error) {
+func (f *follower) readNext(ctx context.Context, wait time.Duration) (time.Duration, error) {
 	began := f.clock.Now()
-	page, err := f.page(ctx, wait)
+	page, err := f.readPage(ctx, wait)
 	if err != nil {
 		return 0, err
 	}
@@ -155,7 +155,7 @@
 	// at the end of the wait: this instance may have been suspended while the answer lay
 	// there. One that brought records may have been made at any time since began.
 	if len(page.Entries) == 0 {
-		began = earlier(f.clock.Now().Add(-followSlack), began.Add(wait))
+		began = earlier(f.clock.Now().Add(-transitSlack), began.Add(wait))
 	}
 	f.advance(page.Next, began, page.Next >= page.End)
 	if len(page.Entries) == 0 || page.Next < page.End {
@@ -173,8 +173,8 @@
 
 // page reads one page from where the topic has been read to, and hands its
 // records over.
-func (f *follower) page(ctx context.Context, wait time.Duration) (Page, error) {
-	from := f.place()
+func (f *follower) readPage(ctx context.Context, wait time.Duration) (Page, error) {
+	from := f.offset()
 	page, err := f.log.Read(ctx, f.topic, from, wait)
 	if err != nil {
 		return page, err
@@ -183,11 +183,11 @@
 		return page, err
 	}
 	for _, e := range page.Entries {
-		f.record(e)
+		f.applyOne(e)
 	}
-	f.hand(page.Entries)
-	if f.paged != nil && len(page.Entries) > 0 {
-		f.paged()
+	f.recordOffsets(page.Entries)
+	if f.afterPage != nil && len(page.Entries) > 0 {
+		f.afterPage()
 	}
 	return page, nil
 }
@@ -205,18 +205,18 @@
 }
 
 // followSlack covers the way of an answer.
-const followSlack = 50 * time.Millisecond
+const transitSlack = 50 * time.Millisecond
 
 // following notes whether run reads the topic. What was read before it began is
 // no ground to decide on.
-func (f *follower) following(follows bool) {
+func (f *follower) setFollowing(follows bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.follows, f.caught = follows, false
-	f.newest = firstRead{}
+	f.isFollowing, f.caughtUp = follows, false
+	f.snapshot = snapshotReader{}
 	if !follows {
-		f.ok, f.told = false, false
-		f.handed = nil
+		f.healthy, f.reported = false, false
+		f.keyOffsets = nil
 	}
 }
 
@@ -224,71 +224,71 @@
 func (f *follower) upToDate() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.follows && f.caught
+	return f.isFollowing && f.caughtUp
 }
 
 // cover notes that what stands before an offset is known from elsewhere, so that a
 // topic that is not followed is looked at from there.
-func (f *follower) cover(offset int64) {
+func (f *follower) skipTo(offset int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.follows {
+	if !f.isFollowing {
 		f.next = max(f.next, offset)
 	}
 }
 
 // look reads the topic to its end at once, besides the reads of run. Callers
 // that come while one looks share the next look.
-func (f *follower) look(ctx context.Context) error {
+func (f *follower) catchUp(ctx context.Context) error {
 	asked := f.clock.Now()
-	f.looking.Lock()
-	defer f.looking.Unlock()
-	if f.looked.After(asked) {
+	f.catchUpMu.Lock()
+	defer f.catchUpMu.Unlock()
+	if f.lastCatchUp.After(asked) {
 		return nil
 	}
 	began := f.clock.Now()
 	for {
-		page, err := f.page(ctx, 0)
+		page, err := f.readPage(ctx, 0)
 		if errors.Is(err, ErrForgotten) || errors.Is(err, ErrMalformed) {
 			// A place that is not in the topic was never read: somebody else named it.
-			return f.lookAtNewest(ctx, began)
+			return f.catchUpFromSnapshot(ctx, began)
 		}
 		if err != nil {
 			return err
 		}
 		f.advance(page.Next, began, page.Next >= page.End)
 		if page.Next >= page.End {
-			f.looked = began
+			f.lastCatchUp = began
 			return nil
 		}
 	}
 }
 
 // lookAtNewest looks at a topic whose records are no longer kept one by one.
-func (f *follower) lookAtNewest(ctx context.Context, began time.Time) error {
-	got := firstRead{}
+func (f *follower) catchUpFromSnapshot(ctx context.Context, began time.Time) error {
+	got := snapshotReader{}
 	if err := got.read(ctx, f.log, f.topic, f.clock); err != nil {
 		return err
 	}
-	f.takeWhole(got)
-	f.looked = began
+	f.applySnapshot(got)
+	f.lastCatchUp = began
 	return nil
 }
 
 // takeWhole takes the newest record of each key. A key that was handed over before and is not
 // among them was dropped meanwhile, by a record that the log keeps no more.
-func (f *follower) takeWhole(got firstRead) {
-	gone := f.gone(got)
-	f.snapshot(got.entries)
+func (f *follower) applySnapshot(got snapshotReader) {
+	gone := f.droppedKeys(got)
+	f.applyAll(got.entries)
 	for _, key := range gone {
-		f.record(Entry{Offset: got.end - 1, Key: key})
+		f.applyOne(Entry{Offset: got.end - 1, Key: key})
 	}
-	f.hand(got.entries)
+	f.recordOffsets(got.entries)
 	f.advance(got.end, got.began, true)
 }
 
 // gone lists the keys that were handed over and that the log has no more.
-func (f *follower) gone(got firstRead) []string {
+func (f *follower) droppedKeys(got snapshotReader) []string {
 	there := make(map[string]bool, len(got.entries))
 	for _, e := range got.entries {
 		there[e.Key] = true
@@ -296,10 +296,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for key, offset := range f.handed {
+	for key, offset := range f.keyOffsets {
 		if offset < got.end && !there[key] {
 			out = append(out, key)
-			delete(f.handed, key)
+			delete(f.keyOffsets, key)
 		}
 	}
 	slices.Sort(out)
@@ -307,23 +307,23 @@
 }
 
 // hand notes what was handed over.
-func (f *follower) hand(entries []Entry) {
+func (f *follower) recordOffsets(entries []Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.handed == nil {
-		f.handed = map[string]int64{}
+	if f.keyOffsets == nil {
+		f.keyOffsets = map[string]int64{}
 	}
 	for _, e := range entries {
 		switch {
 		case len(e.Value) == 0:
-			delete(f.handed, e.Key)
-		case e.Offset >= f.handed[e.Key]:
-			f.handed[e.Key] = e.Offset
+			delete(f.keyOffsets, e.Key)
+		case e.Offset >= f.keyOffsets[e.Key]:
+			f.keyOffsets[e.Key] = e.Offset
 		}
 	}
 }
 
-func (f *follower) place() int64 {
+func (f *follower) offset() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
@@ -334,45 +334,45 @@
 func (f *follower) advance(next int64, read time.Time, end bool) {
 	f.mu.Lock()
 	f.next = max(f.next, next)
-	if end && read.After(f.good) {
-		f.good = read
+	if end && read.After(f.readToEndAt) {
+		f.readToEndAt = read
 	}
 	f.mu.Unlock()
-	f.report(true, "")
+	f.reportConnection(true, "")
 }
 
 // age is how long ago the topic was read to its end.
 func (f *follower) age(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return now.Sub(f.good)
+	return now.Sub(f.readToEndAt)
 }
 
-func (f *follower) report(ok bool, cause string) {
+func (f *follower) reportConnection(ok bool, cause string) {
 	f.mu.Lock()
-	differs := f.ok != ok || !f.told
-	f.ok, f.told = ok, true
+	differs := f.healthy != ok || !f.reported
+	f.healthy, f.reported = ok, true
 	f.mu.Unlock()
 	if differs && ok {
-		f.back.beat()
+		f.logRecovered.notifyAll()
 	}
-	if differs && f.changed != nil {
-		f.changed(f.topic, ok, cause)
+	if differs && f.connectionChanged != nil {
+		f.connectionChanged(f.topic, ok, cause)
 	}
 }
 
 // known tells whether the topic was ever read to its end.
-func (f *follower) known() bool {
+func (f *follower) everRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.good.IsZero()
+	return !f.readToEndAt.IsZero()
 }
 
 // connected tells whether the last read succeeded.
 func (f *follower) connected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ok
+	return f.healthy
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/workload/service/forgotten_test.go
+++ b/workload/service/forgotten_test.go
@@ -49,7 +49,7 @@
 	log = &forgetful{until: began.Add(drops)}
 	f := &follower{
 		topic: Declarations, log: log, wait: func() time.Duration { return time.Second }, pause: func() time.Duration { return 0 },
-		retry: followRetry, back: newPulse(), clock: clock.Steady, snapshot: func([]Entry) {}, record: func(Entry) {},
+		retry: readRetryPause, logRecovered: newBroadcast(), clock: clock.Steady, applyAll: func([]Entry) {}, applyOne: func(Entry) {},
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), drops+5*time.Second)
 	defer cancel()
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const drops = 15 * time.Second
 		log, _ := followForgetful(drops)
-		if most := int(drops/forgottenMost) + 8; len(log.took) > most {
+		if most := int(drops/maxSnapshotRetryPause) + 8; len(log.took) > most {
 			t.Errorf("the newest records were read %d times in %v, want %d at the most", len(log.took), drops, most)
 		}
 	})
--- a/workload/service/reading.go
+++ b/workload/service/freshness.go
@@ -17,48 +17,48 @@
 		return domain.Refuse(domain.ReasonNotReady, "", "no configuration has been read yet", "come back later").After(time.Second)
 	}
 	now := s.clock.Now()
-	age := s.declared.age(now)
-	youngest := min(s.accepts.youngest(now), s.statesAge(now))
-	if age < s.settings.Stale || s.recent(age, youngest) {
+	age := s.declarations.age(now)
+	youngest := min(s.acceptances.minAge(now), s.statesAge(now))
+	if age < s.settings.Stale || s.isRecent(age, youngest) {
 		return nil
 	}
-	return cutOff()
+	return logUnreachable()
 }
 
 // Current refuses where this instance has not read the log for too long.
-func (s *Service) Current() error {
+func (s *Service) CheckCurrent() error {
 	if err := s.Configured(); err != nil {
 		return err
 	}
 	now := s.clock.Now()
-	if s.recent(s.statesAge(now), s.declared.age(now)) {
+	if s.isRecent(s.statesAge(now), s.declarations.age(now)) {
 		return nil
 	}
-	return cutOff()
+	return logUnreachable()
 }
 
 // reachedWithin is how long ago the log was read last at the most where it
 // answers: the time from one read to the next, and the way.
-const reachedWithin = statesPeriod + 2*followSlack
+const reachableWithin = statesReadInterval + 2*transitSlack
 
 // reaches tells whether the log answers here. An instance that it does not answer
 // can still tell what it knows, but accepts nothing: new callers do better
 // elsewhere. Callers in a data centre that is cut off are led to others about a
 // second sooner than by the age at which nothing is answered any more; they wait
 // for three.
-func (s *Service) reaches() bool {
+func (s *Service) isLogReachable() bool {
 	now := s.clock.Now()
-	return min(s.states.age(now), s.accepts.youngest(now), s.plans.age(now), s.declared.age(now)) < reachedWithin
+	return min(s.states.age(now), s.acceptances.minAge(now), s.plans.age(now), s.declarations.age(now)) < reachableWithin
 }
 
-func cutOff() error {
+func logUnreachable() error {
 	return domain.Refuse(domain.ReasonLogUnavailable, "", "this instance is cut off from the log", "try another instance, or come back later").After(time.Second)
 }
 
 // recent tells whether what was read can be acted on, given the ages of several
 // topics: none is stale, or one is while the log serves another. Then a part of
 // the log is down for all, and the topic has no news that anyone was told of.
-func (s *Service) recent(ages ...time.Duration) bool {
+func (s *Service) isRecent(ages ...time.Duration) bool {
 	oldest, youngest := slices.Max(ages), slices.Min(ages)
 	if oldest < s.settings.Stale {
 		return true
@@ -70,7 +70,7 @@
 // its writes show that it is one: one that wakes after a suspension or a freeze may have
 // been succeeded.
 func (s *Service) statesAge(now time.Time) time.Duration {
-	if wrote := s.wrote.Load(); s.planning.Load() && wrote != nil && !wrote.IsZero() {
+	if wrote := s.lastPlanWrite.Load(); s.planning.Load() && wrote != nil && !wrote.IsZero() {
 		return now.Sub(*wrote)
 	}
 	return s.states.age(now)
@@ -79,13 +79,13 @@
 // lookForJob reads the acceptances where the job would be to their end, so that one
 // that is not known then was not accepted before. What was read until then can't tell:
 // another instance may have accepted the job since.
-func (s *Service) lookForJob(ctx context.Context, id workload.JobID) error {
-	if !s.states.known() {
+func (s *Service) catchUpForJob(ctx context.Context, id workload.JobID) error {
+	if !s.states.everRead() {
 		// What has been read is a part, and says nothing of a job that is not in it.
-		return cutOff()
+		return logUnreachable()
 	}
-	if s.accepts.look(ctx, id) != nil {
-		return cutOff()
+	if s.acceptances.catchUp(ctx, id) != nil {
+		return logUnreachable()
 	}
 	return nil
 }
--- a/workload/service/gone_test.go
+++ b/workload/service/gone_test.go
@@ -16,17 +16,17 @@
 func wasAway(t *testing.T, log *shared, f *follower, topic Topic, key string) {
 	t.Helper()
 	ctx := context.Background()
-	if err := f.readNewest(ctx); err != nil {
+	if err := f.readSnapshot(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := log.Append(ctx, topic, []control.Record{{Key: key}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	log.forget(topic)
-	if _, err := f.readOn(ctx, 0); err == nil {
+	if _, err := f.readNext(ctx, 0); err == nil {
 		t.Fatal("the history is still there")
 	}
-	if err := f.readNewest(ctx); err != nil {
+	if err := f.readSnapshot(ctx); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -65,7 +65,7 @@
 		if _, err := log.Append(ctx, Plans, []control.Record{progress}, nil); err != nil {
 			t.Fatal(err)
 		}
-		wasAway(t, log, s.accepts.topics[0], Jobs, accepted.Key)
+		wasAway(t, log, s.acceptances.topics[0], Jobs, accepted.Key)
 		wasAway(t, log, s.plans, Plans, progress.Key)
 		if e, known := s.book.Get("a"); known {
 			t.Logf("left of the job: accepted %t, progress %s", e.Job != nil, e.Progress)
--- a/workload/service/handover_test.go
+++ b/workload/service/handover_test.go
@@ -57,7 +57,7 @@
 			p.submit(i, p.instances[6])
 		}
 		one := p.planners()[0]
-		token, _ := one.succession.mine()
+		token, _ := one.succession.heldToken()
 		late := 0
 		p.workers.mu.Lock()
 		p.workers.ordered = func(order int64) {
@@ -90,7 +90,7 @@
 			_ = json.Unmarshal(e.Value, &last)
 		}
 	}
-	return last.Left
+	return last.Resigned
 }
 
 // What is known of the end of orders is known of a planner that was seen to claim and to resign,
@@ -98,9 +98,9 @@
 func TestOrdersEndWithAResignationOnceThePlannerBeforeMustHaveStopped(t *testing.T) {
 	const authority = 6 * time.Second
 	began := time.Unix(1000, 0)
-	holder, other := claim{Holder: "a", Life: 1}, claim{Holder: "b", Life: 2}
+	holder, other := claim{Holder: "a", Incarnation: 1}, claim{Holder: "b", Incarnation: 2}
 	left := holder
-	left.Left = true
+	left.Resigned = true
 	for name, c := range map[string]struct {
 		seen []claim
 		at   []time.Duration
@@ -112,7 +112,7 @@
 		"another's claim was seen":    {[]claim{other, left}, []time.Duration{0, 20 * time.Second}, -1},
 		"nobody resigned":             {[]claim{holder}, []time.Duration{0}, -1},
 		"another claimed after it":    {[]claim{holder, left, other}, []time.Duration{0, 20 * time.Second, 21 * time.Second}, -1},
-		"another resigned after that": {[]claim{holder, left, other, {Holder: "b", Life: 2, Left: true}}, []time.Duration{0, 20 * time.Second, 21 * time.Second, 40 * time.Second}, 40 * time.Second},
+		"another resigned after that": {[]claim{holder, left, other, {Holder: "b", Incarnation: 2, Resigned: true}}, []time.Duration{0, 20 * time.Second, 21 * time.Second, 40 * time.Second}, 40 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSuccession("me", 9, patience, nil)
@@ -126,7 +126,7 @@
 				s.observe(Entry{Offset: int64(i), Key: claimKey, Value: value}, began.Add(c.at[i]))
 				log.records = append(log.records, Entry{Offset: int64(i), Key: claimKey, Value: value})
 			}
-			if _, err := s.take(t.Context(), log, int64(len(c.seen))); err != nil {
+			if _, err := s.claim(t.Context(), log, int64(len(c.seen))); err != nil {
 				t.Fatal(err)
 			}
 			got := s.ordersEnded()
@@ -140,7 +140,7 @@
 // A claim that had no answer may stand behind others that were not read when it was made.
 func TestALateClaimKnowsNothingOfTheEndOfOrders(t *testing.T) {
 	s := newSuccession("me", 9, patience, nil)
-	for i, one := range []claim{{Holder: "a", Life: 1}, {Holder: "a", Life: 1, Left: true}, s.self} {
+	for i, one := range []claim{{Holder: "a", Incarnation: 1}, {Holder: "a", Incarnation: 1, Resigned: true}, s.self} {
 		s.observe(Entry{Offset: int64(i), Key: claimKey, Value: one.record().Value}, time.Unix(1000+int64(i), 0))
 	}
 	if got := s.ordersEnded(); !got.IsZero() {
--- a/workload/service/idle_test.go
+++ b/workload/service/idle_test.go
@@ -20,12 +20,12 @@
 		made := p.readsOf(Declarations) - before
 		stale := p.instances[0].settings.Stale
 		// The planner reads on at once.
-		most := int(instances*lasts/(stale/2)) + int(lasts/planWait) + instances
+		most := int(instances*lasts/(stale/2)) + int(lasts/plannerWait) + instances
 		if made > most {
 			t.Errorf("%d reads of the declarations in %v, %d at the most", made, lasts, most)
 		}
 		for _, one := range p.instances {
-			if age := one.declared.age(one.clock.Now()); age > stale*3/4 {
+			if age := one.declarations.age(one.clock.Now()); age > stale*3/4 {
 				t.Errorf("%s read the declarations %v ago", one.name, age)
 			}
 		}
--- a/workload/service/waves.go
+++ b/workload/service/maintenance.go
@@ -19,30 +19,30 @@
 
 // waves keeps the declared waves of maintenance and the planners' records of
 // them. It is safe for concurrent use.
-type waves struct {
+type maintenanceWaves struct {
 	mu       sync.Mutex
 	declared map[int64]control.Wave
 	records  map[string][]byte
 }
 
-func newWaves() *waves {
-	return &waves{declared: map[int64]control.Wave{}, records: map[string][]byte{}}
+func newMaintenanceWaves() *maintenanceWaves {
+	return &maintenanceWaves{declared: map[int64]control.Wave{}, records: map[string][]byte{}}
 }
 
-func (w *waves) declare(one control.Wave) {
+func (w *maintenanceWaves) declare(one control.Wave) {
 	w.mu.Lock()
 	w.declared[one.ID] = one
 	w.mu.Unlock()
 }
 
-func (w *waves) record(e Entry) {
+func (w *maintenanceWaves) record(e Entry) {
 	w.mu.Lock()
 	w.records[e.Key] = e.Value
 	w.mu.Unlock()
 }
 
 // each calls f with each declared wave and what planners have recorded of it.
-func (w *waves) each(f func(control.Wave, []byte)) {
+func (w *maintenanceWaves) each(f func(control.Wave, []byte)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, one := range w.declared {
@@ -51,8 +51,8 @@
 }
 
 const (
-	hostsEvery   = 100 * time.Millisecond
-	hostsTimeout = 2 * time.Second
+	hostsInterval = 100 * time.Millisecond
+	hostsTimeout  = 2 * time.Second
 	// dutyTimeout bounds one order; the platform may be slow.
 	dutyTimeout   = 2 * time.Second
 	reportTimeout = time.Second
@@ -60,11 +60,11 @@
 
 // maintain reads the hosts, gives the orders of waves and reports their states,
 // while this instance plans.
-func (p *planner) maintain(ctx context.Context) {
+func (p *planner) runMaintenance(ctx context.Context) {
 	if p.s.settings.Hosts == nil {
 		return
 	}
-	tick := time.NewTicker(hostsEvery)
+	tick := time.NewTicker(hostsInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -72,7 +72,7 @@
 			return
 		case <-tick.C:
 			p.readHosts(ctx)
-			p.giveDuties(ctx)
+			p.sendDuties(ctx)
 			p.reportWaves(ctx)
 		}
 	}
@@ -89,22 +89,22 @@
 	call, cancel := context.WithTimeout(ctx, hostsTimeout)
 	list, err := p.s.settings.Hosts.List(call)
 	cancel()
-	p.noteHosts(err)
+	p.logHostsConnection(err)
 	if err != nil {
 		return
 	}
 	p.mu.Lock()
 	p.core.Hosts(list, asked)
 	p.mu.Unlock()
-	signal(p.wake)
+	notify(p.wakeRound)
 }
 
 // noteHosts says when the service of hosts is lost or regained.
-func (p *planner) noteHosts(err error) {
-	if (err != nil) == p.hostsLost {
+func (p *planner) logHostsConnection(err error) {
+	if (err != nil) == p.hostsUnreachable {
 		return
 	}
-	p.hostsLost = err != nil
+	p.hostsUnreachable = err != nil
 	fields := events.Fields{"dependency": "hosts"}
 	if err != nil {
 		fields["cause"] = err.Error()
@@ -114,26 +114,26 @@
 	p.s.events.Info(events.DependencyRegained, fields)
 }
 
-func (p *planner) giveDuties(ctx context.Context) {
+func (p *planner) sendDuties(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.s.clock.Now()
-	if !p.acting(now) {
+	if !p.canOrder(now) {
 		return
 	}
 	for _, o := range p.core.Duties(now) {
-		p.work.Go(func() { p.duty(ctx, o) })
+		p.goroutines.Go(func() { p.sendDuty(ctx, o) })
 	}
 }
 
-func (p *planner) duty(ctx context.Context, o control.DutyOrder) {
+func (p *planner) sendDuty(ctx context.Context, o control.DutyOrder) {
 	call, cancel := context.WithTimeout(ctx, dutyTimeout)
 	verdict := p.s.settings.Hosts.Maintain(call, p.s.settings.Instance, o)
 	cancel()
 	p.mu.Lock()
 	p.core.DutyDone(o, verdict, p.s.clock.Now())
 	p.mu.Unlock()
-	signal(p.wake)
+	notify(p.wakeRound)
 }
 
 // reportWaves tells operators how far their waves are.
--- a/workload/service/members.go
+++ b/workload/service/members.go
@@ -25,18 +25,18 @@
 // turns away can reach it through them, and how strong they are, so that a
 // strong one plans.
 type members struct {
-	self   string
-	own    member
-	log    Log
-	follow *follower
+	self     string
+	own      member
+	log      Log
+	follower *follower
 	// changed takes the addresses of the others and this one's place among all by
 	// power.
 	changed func(others []string, place int)
 
-	mu    sync.Mutex
-	known map[string]member
+	mu     sync.Mutex
+	others map[string]member
 	// listed is what the log has of this instance.
-	listed member
+	registered member
 }
 
 const (
@@ -44,24 +44,24 @@
 	memberWait = 10 * time.Second
 	// memberPeriod is the least time between two reads: where many instances come at
 	// once, each would read each of the others by itself (147 x 147 calls).
-	memberPeriod = 100 * time.Millisecond
+	memberReadInterval = 100 * time.Millisecond
 )
 
 func newMembers(s *Service) *members {
-	m := &members{self: s.settings.Instance, own: member{s.settings.Address, s.settings.Power, s.settings.DataCentre}, log: s.log, known: map[string]member{}}
+	m := &members{self: s.settings.Instance, own: member{s.settings.Address, s.settings.Power, s.settings.DataCentre}, log: s.log, others: map[string]member{}}
 	m.changed = func(others []string, place int) {
 		s.succession.setTurn(place)
-		s.standby.setPlace(place)
+		s.standby.setRank(place)
 		if s.settings.Peers != nil {
 			s.settings.Peers(others)
 		}
 	}
-	m.follow = s.follow(Members, m.takeAll, m.note, func() time.Duration { return 0 })
+	m.follower = s.follow(Members, m.applyAll, m.apply, func() time.Duration { return 0 })
 	// Each of N instances that start together reads N entries; with the order made anew at each
 	// of them that were N orders of N members for everybody.
-	m.follow.paged = m.tell
-	m.follow.wait = func() time.Duration { return memberWait }
-	m.follow.period = func() time.Duration { return memberPeriod }
+	m.follower.afterPage = m.notifyChanged
+	m.follower.wait = func() time.Duration { return memberWait }
+	m.follower.interval = func() time.Duration { return memberReadInterval }
 	return m
 }
 
@@ -70,48 +70,48 @@
 		return
 	}
 	var reading sync.WaitGroup
-	reading.Go(func() { m.follow.run(ctx) })
+	reading.Go(func() { m.follower.run(ctx) })
 	defer reading.Wait()
 	value, err := json.Marshal(m.own)
 	if err != nil {
 		return
 	}
-	m.awaitFirst(ctx)
-	for ctx.Err() == nil && !m.isListed() {
+	m.awaitFirstRead(ctx)
+	for ctx.Err() == nil && !m.isRegistered() {
 		_, err := m.log.Append(ctx, Members, []control.Record{{Key: m.self, Value: value}}, nil)
 		if err == nil {
 			return
 		}
-		sleep(ctx, followRetry)
+		sleep(ctx, readRetryPause)
 	}
 }
 
 // awaitFirst waits a while for the first read: an instance that starts again with the
 // address that it had need not be written, nor read by all others.
-func (m *members) awaitFirst(ctx context.Context) {
-	for until := time.Now().Add(firstMembers); ctx.Err() == nil && !m.follow.known() && time.Now().Before(until); {
-		sleep(ctx, firstMembers/20)
+func (m *members) awaitFirstRead(ctx context.Context) {
+	for until := time.Now().Add(firstReadTimeout); ctx.Err() == nil && !m.follower.everRead() && time.Now().Before(until); {
+		sleep(ctx, firstReadTimeout/20)
 	}
 }
 
 // firstMembers is how long an instance waits to read the members before it writes
 // itself in.
-const firstMembers = time.Second
+const firstReadTimeout = time.Second
 
-func (m *members) isListed() bool {
+func (m *members) isRegistered() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.listed == m.own
+	return m.registered == m.own
 }
 
-func (m *members) takeAll(entries []Entry) {
+func (m *members) applyAll(entries []Entry) {
 	for _, e := range entries {
-		m.note(e)
+		m.apply(e)
 	}
-	m.tell()
+	m.notifyChanged()
 }
 
-func (m *members) note(e Entry) {
+func (m *members) apply(e Entry) {
 	other := member{}
 	if json.Unmarshal(e.Value, &other) != nil || other.Address == "" {
 		return
@@ -119,19 +119,19 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e.Key == m.self {
-		m.listed = other
+		m.registered = other
 		return
 	}
-	m.known[e.Key] = other
+	m.others[e.Key] = other
 }
 
 // tell tells who the others are, and where this instance stands among all.
-func (m *members) tell() {
+func (m *members) notifyChanged() {
 	m.mu.Lock()
-	all := maps.Clone(m.known)
+	all := maps.Clone(m.others)
 	m.mu.Unlock()
 	all[m.self] = m.own
-	order := candidates(all)
+	order := orderCandidates(all)
 	place := slices.Index(order, m.self)
 	m.changed(m.peers(all, order, place), place)
 }
@@ -158,7 +158,7 @@
 // candidates orders instances by how they come in question for the planner's role:
 // the stronger ones first, and of equals one of each data centre, then a second one
 // of each, so that those who stand by are not lost together.
-func candidates(all map[string]member) []string {
+func orderCandidates(all map[string]member) []string {
 	names := slices.Sorted(maps.Keys(all))
 	type class struct {
 		power  float64
--- a/workload/service/members_test.go
+++ b/workload/service/members_test.go
@@ -15,9 +15,9 @@
 	const instances = 600
 	log := newShared(1e9)
 	tells, others := 0, 0
-	m := &members{self: "self", own: member{Address: "self"}, known: map[string]member{}}
+	m := &members{self: "self", own: member{Address: "self"}, others: map[string]member{}}
 	m.changed = func(all []string, _ int) { tells, others = tells+1, len(all) }
-	f := &follower{topic: Members, log: log, wait: func() time.Duration { return 0 }, record: m.note, paged: m.tell}
+	f := &follower{topic: Members, log: log, wait: func() time.Duration { return 0 }, applyOne: m.apply, afterPage: m.notifyChanged}
 	var records []control.Record
 	for i := range instances {
 		records = append(records, control.Record{Key: fmt.Sprint(i), Value: []byte(fmt.Sprintf(`{"address":"a%d","power":%d}`, i, i%3))})
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		if _, err := f.page(context.Background(), 0); err != nil {
+		if _, err := f.readPage(context.Background(), 0); err != nil {
 			t.Fatal(err)
 		}
 		f.next = instances
--- a/workload/service/meter.go
+++ b/workload/service/meter.go
@@ -25,40 +25,40 @@
 	metrics *telemetry.Metrics
 
 	mu   sync.Mutex
-	uses map[Topic]*use
+	uses map[Topic]*topicUse
 }
 
 // use is what was asked of one topic.
-type use struct {
+type topicUse struct {
 	calls, failed int
 	// forgotten are the reads whose place the log no longer had, whole the reads of the newest
 	// records.
-	forgotten, whole int
+	forgotten, newestReads int
 	// read and written are bytes of keys and values.
 	read, written int
 }
 
 // meterEvery is how often use is written to the log of events.
-const meterEvery = 10 * time.Second
+const meterInterval = 10 * time.Second
 
 func newMeter(log Log, metrics *telemetry.Metrics) *meter {
-	return &meter{Log: log, metrics: metrics, uses: map[Topic]*use{}}
+	return &meter{Log: log, metrics: metrics, uses: map[Topic]*topicUse{}}
 }
 
 // kinds of records by the beginning of their key; others have the name of their topic.
-var kindOfKey = []struct{ prefix, kind string }{
+var keyKinds = []struct{ prefix, kind string }{
 	{workload.AcceptedKey(""), "acceptance"},
 	{workload.CancelledKey(""), "cancellation"},
 	{workload.ProgressKey(""), "progress"},
 	{workload.StatedKey(""), "statement"},
-	{headKey, "head"},
-	{signKey, "sign"},
+	{statesHeartbeatKey, "head"},
+	{planHeartbeatKey, "sign"},
 	{claimKey, "claim"},
 }
 
-func kindOf(topic Topic, key string) string {
+func recordKind(topic Topic, key string) string {
 	if isAcceptTopic(topic) || topic == Plans || topic == States {
-		for _, k := range kindOfKey {
+		for _, k := range keyKinds {
 			if strings.HasPrefix(key, k.prefix) {
 				return k.kind
 			}
@@ -67,19 +67,19 @@
 	return string(topic)
 }
 
-func (m *meter) note(topic Topic, operation telemetry.LogOperation, err error, entries []Entry) {
+func (m *meter) count(topic Topic, operation telemetry.LogOperation, err error, entries []Entry) {
 	bytes := 0
 	for _, e := range entries {
 		n := len(e.Key) + len(e.Value)
 		bytes += n
-		m.metrics.LogBytes(string(topic), kindOf(topic, e.Key), operation, n)
+		m.metrics.LogBytes(string(topic), recordKind(topic, e.Key), operation, n)
 	}
 	m.metrics.LogCall(string(topic), operation, err == nil)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	u := m.uses[topic]
 	if u == nil {
-		u = &use{}
+		u = &topicUse{}
 		m.uses[topic] = u
 	}
 	u.calls++
@@ -90,7 +90,7 @@
 		u.forgotten++
 	}
 	if operation == telemetry.LogNewest {
-		u.whole++
+		u.newestReads++
 	}
 	if operation == telemetry.LogWrite {
 		u.written += bytes
@@ -106,28 +106,28 @@
 	for i, r := range records {
 		entries[i] = Entry{Key: r.Key, Value: r.Value}
 	}
-	m.note(topic, telemetry.LogWrite, err, entries)
+	m.count(topic, telemetry.LogWrite, err, entries)
 	return offset, err
 }
 
 // Read implements Log.
 func (m *meter) Read(ctx context.Context, topic Topic, from int64, wait time.Duration) (Page, error) {
 	page, err := m.Log.Read(ctx, topic, from, wait)
-	m.note(topic, telemetry.LogRead, err, page.Entries)
+	m.count(topic, telemetry.LogRead, err, page.Entries)
 	return page, err
 }
 
 // Newest implements Log.
 func (m *meter) Newest(ctx context.Context, topic Topic, after string) (NewestPage, error) {
 	page, err := m.Log.Newest(ctx, topic, after)
-	m.note(topic, telemetry.LogNewest, err, page.Entries)
+	m.count(topic, telemetry.LogNewest, err, page.Entries)
 	return page, err
 }
 
 // tell writes what was used so far, now and then, until ctx ends.
-func (m *meter) tell(ctx context.Context, log *events.Log) {
+func (m *meter) logPeriodically(ctx context.Context, log *events.Log) {
 	for ctx.Err() == nil {
-		sleep(ctx, meterEvery)
+		sleep(ctx, meterInterval)
 		log.Info(events.LogUse, m.fields())
 	}
 }
@@ -138,7 +138,7 @@
 	out := events.Fields{}
 	for _, topic := range slices.Sorted(maps.Keys(m.uses)) {
 		u := m.uses[topic]
-		out[string(topic)] = fmt.Sprintf("calls=%d failed=%d forgotten=%d whole=%d read=%d written=%d", u.calls, u.failed, u.forgotten, u.whole, u.read, u.written)
+		out[string(topic)] = fmt.Sprintf("calls=%d failed=%d forgotten=%d whole=%d read=%d written=%d", u.calls, u.failed, u.forgotten, u.newestReads, u.read, u.written)
 	}
 	return out
 }
--- a/workload/service/orders.go
+++ b/workload/service/orders.go
@@ -20,28 +20,28 @@
 	HoldGivenUp = holdMargin + control.HoldRetry
 )
 
-func (p *planner) start(ctx context.Context, o control.StartOrder) {
-	if !p.mayStillOrder() {
+func (p *planner) sendStart(ctx context.Context, o control.StartOrder) {
+	if !p.canOrderNow() {
 		// It is sent again once this planner has written, as one whose sender was frozen.
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, p.answers.Patience())
+	call, cancel := context.WithTimeout(ctx, p.orderTimeout.Patience())
 	sent := time.Now()
 	answer := p.s.workers.Start(call, o)
 	cancel()
-	p.answers.Observe(time.Since(sent))
+	p.orderTimeout.Observe(time.Since(sent))
 	p.s.metrics.Observe(telemetry.StartAnswer, time.Since(sent))
 	p.mu.Lock()
 	p.core.Started(o, answer, p.s.clock.Now())
 	p.mu.Unlock()
 	if answer.Verdict != control.Accepted {
-		p.nudge()
+		p.wakeAll()
 	}
 }
 
-func (p *planner) stop(ctx context.Context, o control.StopOrder) {
+func (p *planner) sendStop(ctx context.Context, o control.StopOrder) {
 	answer := control.Answer{Verdict: control.Unreached}
-	if p.mayStillOrder() {
+	if p.canOrderNow() {
 		call, cancel := context.WithTimeout(ctx, stopTimeout)
 		answer = p.s.workers.Stop(call, o)
 		cancel()
@@ -49,11 +49,11 @@
 	p.mu.Lock()
 	p.core.Stopped(o, answer, p.s.clock.Now())
 	p.mu.Unlock()
-	p.nudge()
+	p.wakeAll()
 }
 
-func (p *planner) pace(ctx context.Context, o control.PaceOrder) {
-	call, cancel := context.WithTimeout(ctx, p.answers.Patience())
+func (p *planner) sendPace(ctx context.Context, o control.PaceOrder) {
+	call, cancel := context.WithTimeout(ctx, p.orderTimeout.Patience())
 	answer := p.s.workers.Pace(call, o)
 	cancel()
 	p.mu.Lock()
@@ -65,7 +65,7 @@
 // of other instances may be before it in the service's line.
 const adviceMargin = time.Second
 
-func (p *planner) advise(ctx context.Context, o control.AdviceOrder) {
+func (p *planner) requestAdvice(ctx context.Context, o control.AdviceOrder) {
 	call, cancel := context.WithTimeout(ctx, o.Takes+adviceMargin)
 	sent := p.s.clock.Now()
 	answer := p.s.workers.Advise(call, o)
@@ -74,34 +74,34 @@
 	p.mu.Lock()
 	p.core.Advised(o, answer, sent, p.s.clock.Now())
 	p.mu.Unlock()
-	p.nudge()
+	p.wakeAll()
 }
 
 // hold keeps one worker's lease and takes its news, call after call, while
 // there is something to hold and no pause between.
-func (p *planner) hold(ctx context.Context, o control.HoldOrder) {
+func (p *planner) renewLease(ctx context.Context, o control.HoldOrder) {
 	for again := true; again && ctx.Err() == nil; {
 		sent := p.s.clock.Now()
 		answer := control.HoldAnswer{Verdict: control.Unreached}
-		if p.mayStillOrder() {
+		if p.canOrderNow() {
 			call, cancel := context.WithTimeout(ctx, o.Wait+holdMargin)
 			answer = p.s.workers.Hold(call, o)
 			cancel()
 		}
-		o, again = p.held(o, answer, sent)
+		o, again = p.handleHoldAnswer(o, answer, sent)
 		if len(answer.Ended) > 0 || answer.Verdict != control.Accepted {
-			p.nudge()
+			p.wakeAll()
 		}
 	}
 }
 
 // held takes an answer and returns the worker's next hold, if it is due now.
-func (p *planner) held(o control.HoldOrder, answer control.HoldAnswer, sent time.Time) (control.HoldOrder, bool) {
+func (p *planner) handleHoldAnswer(o control.HoldOrder, answer control.HoldAnswer, sent time.Time) (control.HoldOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.s.clock.Now()
 	p.core.Held(o, answer, sent, now)
-	if !p.acting(now) {
+	if !p.canOrder(now) {
 		return control.HoldOrder{}, false
 	}
 	return p.core.Hold(o.Worker, now)
--- a/workload/service/parts_test.go
+++ b/workload/service/parts_test.go
@@ -83,7 +83,7 @@
 				defer cancel()
 				commits := newCommitter(log, Jobs, SpareJobs)
 				go commits.run(ctx)
-				caller, done := context.WithTimeout(ctx, leastCommit)
+				caller, done := context.WithTimeout(ctx, minCommitTimeout)
 				defer done()
 				err := commits.add(caller, control.Record{Key: "j/a", Value: []byte("{}")})
 				if (c.want == nil) != (err == nil) || (c.want != nil && !errors.Is(err, c.want)) {
@@ -105,7 +105,7 @@
 		{3 * time.Second, 3 * time.Second, false},
 		{8 * time.Second, time.Second, false},
 	} {
-		if got := s.recent(c.oldest, c.youngest); got != c.want {
+		if got := s.isRecent(c.oldest, c.youngest); got != c.want {
 			t.Errorf("oldest %v, youngest %v: %t", c.oldest, c.youngest, got)
 		}
 	}
@@ -117,10 +117,10 @@
 			log := &partly{written: map[Topic]int{}, fails: map[Topic]func(context.Context) error{topic: refuses}}
 			s := New(Settings{Instance: "a", Stale: time.Second, Stretch: time.Hour}, log, nil, nil, nil, nil)
 			s.directory.Store(&Directory{Version: 1})
-			for _, f := range append(slices.Clone(s.accepts.topics), s.states, s.plans, s.declared) {
-				f.good = time.Now()
+			for _, f := range append(slices.Clone(s.acceptances.topics), s.states, s.plans, s.declarations) {
+				f.readToEndAt = time.Now()
 				if f.topic == topic {
-					f.good = time.Now().Add(-2 * s.settings.Stale)
+					f.readToEndAt = time.Now().Add(-2 * s.settings.Stale)
 				}
 			}
 			_, err := s.State(context.Background(), workload.JobID("00000000000000aa"))
@@ -142,8 +142,8 @@
 		log := &partly{written: map[Topic]int{}, fails: map[Topic]func(context.Context) error{topic: refuses}}
 		s := New(Settings{Instance: "a", Stale: time.Second, Stretch: time.Hour}, log, nil, nil, nil, nil)
 		s.directory.Store(&Directory{Version: 1})
-		for _, f := range append(slices.Clone(s.accepts.topics), s.states, s.plans, s.declared) {
-			f.good = time.Now()
+		for _, f := range append(slices.Clone(s.acceptances.topics), s.states, s.plans, s.declarations) {
+			f.readToEndAt = time.Now()
 		}
 		_, stateErr := s.State(context.Background(), workload.JobID("00000000000000aa"))
 		cancelErr := s.Cancel(context.Background(), workload.JobID("00000000000000aa"))
@@ -160,8 +160,8 @@
 func TestWhatDecisionsDependOnIsReadOften(t *testing.T) {
 	s := New(Settings{Instance: "a"}, &partly{}, nil, nil, nil, nil)
 	const leastStale = 2 * time.Second
-	for _, f := range append(slices.Clone(s.accepts.topics), s.states, s.plans, s.declared) {
-		if max(f.wait()+f.pause(), f.least()) > leastStale/2 {
+	for _, f := range append(slices.Clone(s.acceptances.topics), s.states, s.plans, s.declarations) {
+		if max(f.wait()+f.pause(), f.minInterval()) > leastStale/2 {
 			t.Errorf("%s is read each %v", f.topic, f.wait())
 		}
 	}
@@ -171,14 +171,14 @@
 	now := time.Now()
 	for _, topic := range []Topic{Jobs, SpareJobs, WorkerList} {
 		s := New(Settings{Instance: "a", Stale: 2 * time.Second, Stretch: 5 * time.Second}, &partly{}, nil, nil, nil, nil)
-		p := &planner{s: s, written: now, lister: s.follow(WorkerList, nil, nil, nil)}
-		for _, f := range append(slices.Clone(s.accepts.topics), p.lister) {
-			f.good = now
+		p := &planner{s: s, lastWrite: now, listFollower: s.follow(WorkerList, nil, nil, nil)}
+		for _, f := range append(slices.Clone(s.acceptances.topics), p.listFollower) {
+			f.readToEndAt = now
 			if f.topic == topic {
-				f.good = now.Add(-8 * time.Second)
+				f.readToEndAt = now.Add(-8 * time.Second)
 			}
 		}
-		if p.informed(now) {
+		if p.hasRecentReadings(now) {
 			t.Errorf("%s was read 8 s ago", topic)
 		}
 	}
--- a/workload/service/recovery_test.go
+++ b/workload/service/recovery_test.go
@@ -33,8 +33,8 @@
 
 func newReader(log Log, topic Topic) *reader {
 	r := &reader{seen: map[string]bool{}}
-	r.f = &follower{topic: topic, log: log, wait: func() time.Duration { return readerWait }, pause: func() time.Duration { return readerRest }, retry: followRetry}
-	r.f.snapshot = func(entries []Entry) {
+	r.f = &follower{topic: topic, log: log, wait: func() time.Duration { return readerWait }, pause: func() time.Duration { return standbyPause }, retry: readRetryPause}
+	r.f.applyAll = func(entries []Entry) {
 		r.snapshots = append(r.snapshots, entries)
 		for _, e := range entries {
 			r.seen[e.Key] = true
@@ -43,7 +43,7 @@
 			r.readyAt = time.Now()
 		}
 	}
-	r.f.record = func(e Entry) { r.seen[e.Key] = true }
+	r.f.applyOne = func(e Entry) { r.seen[e.Key] = true }
 	return r
 }
 
@@ -110,7 +110,7 @@
 				}
 				began := time.Now()
 				r := recoverFor(t, 3*bounded(thin), d, during)
-				if r.readyAt.IsZero() || !r.f.known() {
+				if r.readyAt.IsZero() || !r.f.everRead() {
 					t.Fatalf("not ready after %v", time.Since(began))
 				}
 				if want := len(log.topics[Jobs].newest); len(r.seen) != want {
@@ -142,7 +142,7 @@
 		log.fill(Jobs, someJobs, recordSize, jobKey, make([]byte, recordSize))
 		d := newDoor(log, steady(mbits(10)))
 		d.lose = func(n int) bool { return n == 3 }
-		first := firstRead{}
+		first := snapshotReader{}
 		ctx := context.Background()
 		if err := first.read(ctx, d, Jobs, nil); !errors.Is(err, ErrUnknown) {
 			t.Fatalf("the third page was lost: %v", err)
@@ -233,7 +233,7 @@
 				b.door = newDoor(log, steady(mbits(100)))
 				r := newReader(b, Jobs)
 				noted := 0
-				r.f.changed = func(_ Topic, ok bool, cause string) {
+				r.f.connectionChanged = func(_ Topic, ok bool, cause string) {
 					if !ok && cause != "" {
 						noted++
 					}
@@ -266,7 +266,7 @@
 		t.Fatal("accepts without a configuration")
 	}
 	s.directory.Store(&Directory{Version: 1})
-	s.declared.good = time.Now()
+	s.declarations.readToEndAt = time.Now()
 	if err := s.Configured(); err != nil {
 		t.Fatalf("does not accept with the configuration alone: %v", err)
 	}
@@ -275,9 +275,9 @@
 	}
 	ended, open, unknown := workload.JobID("00000000000000aa"), workload.JobID("00000000000000bb"), workload.JobID("00000000000000cc")
 	for _, id := range []workload.JobID{ended, open} {
-		s.fold(Entry{Key: workload.AcceptedKey(id), Value: []byte(`{}`)})
+		s.applyJobRecord(Entry{Key: workload.AcceptedKey(id), Value: []byte(`{}`)})
 	}
-	s.fold(Entry{Offset: 1, Key: workload.ProgressKey(ended), Value: []byte(`{"state":"completed"}`)})
+	s.applyJobRecord(Entry{Offset: 1, Key: workload.ProgressKey(ended), Value: []byte(`{"state":"completed"}`)})
 	if state, err := s.State(context.Background(), ended); err != nil || state != workload.Completed {
 		t.Fatalf("of a job that has ended: %s, %v", state, err)
 	}
@@ -328,7 +328,7 @@
 		parts := 0
 		for _, topic := range []Topic{Jobs, Plans} {
 			f := newReader(d, topic).f
-			f.snapshot = func([]Entry) {
+			f.applyAll = func([]Entry) {
 				mu.Lock()
 				defer mu.Unlock()
 				if parts++; parts < 2 {
@@ -404,7 +404,7 @@
 		s := New(Settings{Instance: "a", Stale: 2 * time.Second}, a, nil, nil, nil, nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		var group sync.WaitGroup
-		followers := []*follower{s.states, s.accepts.topics[0], s.plans}
+		followers := []*follower{s.states, s.acceptances.topics[0], s.plans}
 		for _, f := range followers {
 			group.Go(func() { f.run(ctx) })
 		}
@@ -421,7 +421,7 @@
 		time.Sleep(300 * time.Millisecond)
 		for _, f := range followers {
 			// An answer without news counts from a little before it came.
-			if read := time.Now().Add(-f.age(time.Now())); read.Before(back.Add(-followSlack)) {
+			if read := time.Now().Add(-f.age(time.Now())); read.Before(back.Add(-transitSlack)) {
 				t.Errorf("%s was read last %v before the log was back", f.topic, back.Sub(read))
 			}
 		}
--- a/workload/service/forget.go
+++ b/workload/service/retention.go
@@ -11,16 +11,16 @@
 
 const (
 	// forgetEvery is how often the planner looks for jobs to forget.
-	forgetEvery = 5 * time.Second
+	dropInterval = 5 * time.Second
 	// forgetGap is the time between dropping a job's acceptance and its progress.
 	// It is many times the age at which an instance stops acting on what it has
 	// read, so that none sees the acceptance without the progress.
-	forgetGap = time.Minute
+	dropGap = time.Minute
 	// forgetMost bounds one look.
-	forgetMost = 200
+	maxDropBatch = 200
 	// reduceEvery is how often ended jobs are reduced. One call then serves the
 	// jobs of a second, and no more than those are read whole for nothing.
-	reduceEvery = time.Second
+	reduceInterval = time.Second
 )
 
 // reduce replaces the acceptances of jobs that have ended by ones without spec
@@ -30,20 +30,20 @@
 // is carried out late, or by a planner that was succeeded, does no harm: a final
 // state stands for good. It is done beside the rounds, which must not wait for
 // the topic of acceptances.
-func (p *planner) reduce(ctx context.Context) {
-	if p.s.clock.Since(p.reduced) < reduceEvery || !p.reducing.CompareAndSwap(false, true) {
+func (p *planner) reduceEnded(ctx context.Context) {
+	if p.s.clock.Since(p.lastReduce) < reduceInterval || !p.reducing.CompareAndSwap(false, true) {
 		return
 	}
-	p.reduced = p.s.clock.Now()
-	p.work.Go(func() {
+	p.lastReduce = p.s.clock.Now()
+	p.goroutines.Go(func() {
 		defer p.reducing.Store(false)
-		p.reduceNow(ctx)
+		p.reduceBatch(ctx)
 	})
 }
 
-func (p *planner) reduceNow(ctx context.Context) {
+func (p *planner) reduceBatch(ctx context.Context) {
 	var records []control.Record
-	for _, id := range p.s.book.Reducible(forgetMost) {
+	for _, id := range p.s.book.Reducible(maxDropBatch) {
 		if value, ok := p.s.book.Reduce(id); ok {
 			records = append(records, control.Record{Key: workload.AcceptedKey(id), Value: value})
 		}
@@ -52,19 +52,19 @@
 		return
 	}
 	for _, r := range records {
-		p.s.fold(Entry{Key: r.Key, Value: r.Value})
+		p.s.applyJobRecord(Entry{Key: r.Key, Value: r.Value})
 	}
 }
 
 // forget drops the records of jobs that ended long ago, so that the log and the
 // instances' memory do not grow for ever.
-func (p *planner) forget(ctx context.Context) {
+func (p *planner) dropExpired(ctx context.Context) {
 	keep := p.s.settings.Keep
-	if keep <= 0 || p.s.clock.Since(p.forgot) < forgetEvery {
+	if keep <= 0 || p.s.clock.Since(p.lastDrop) < dropInterval {
 		return
 	}
-	p.forgot = p.s.clock.Now()
-	accepted, progress := p.s.book.Expired(time.Now().UnixMilli(), keep, forgetGap, forgetMost)
+	p.lastDrop = p.s.clock.Now()
+	accepted, progress := p.s.book.Expired(time.Now().UnixMilli(), keep, dropGap, maxDropBatch)
 	var first, rest []control.Record
 	for _, id := range accepted {
 		first = append(first, control.Record{Key: workload.AcceptedKey(id)}, control.Record{Key: workload.CancelledKey(id)})
@@ -83,9 +83,9 @@
 			return
 		}
 		for _, r := range rest {
-			p.s.fold(Entry{Key: r.Key})
+			p.s.applyJobRecord(Entry{Key: r.Key})
 		}
-		p.drop(progress)
+		p.dropStates(progress)
 	}
 	if len(first)+len(rest) > 0 {
 		p.s.events.Info(events.JobsForgotten, events.Fields{"accepted": len(accepted), "progress": len(progress), "keep_ms": keep.Milliseconds()})
@@ -94,8 +94,8 @@
 
 // rewriteAcceptances appends records to all topics that may have them.
 func (p *planner) rewriteAcceptances(ctx context.Context, records []control.Record) error {
-	for topic, part := range p.s.accepts.mayHave(records) {
-		attempt, cancel := context.WithTimeout(ctx, appendTry)
+	for topic, part := range p.s.acceptances.groupByTopic(records) {
+		attempt, cancel := context.WithTimeout(ctx, appendTimeout)
 		_, err := p.s.log.Append(attempt, topic, part, nil)
 		cancel()
 		if err != nil {
--- a/workload/service/scale_test.go
+++ b/workload/service/scale_test.go
@@ -138,7 +138,7 @@
 		if len(p.workers.twice) > 0 {
 			t.Errorf("tasks began twice: %v", p.workers.twice)
 		}
-		time.Sleep(2 * standbyRest * 1600 * time.Millisecond)
+		time.Sleep(2 * standbyLinger * 1600 * time.Millisecond)
 		if n := len(p.planners()); n != 1 {
 			t.Errorf("%d plan", n)
 		}
@@ -231,20 +231,20 @@
 				reader := New(Settings{Instance: "b", AcceptHomes: homes, Stale: time.Second}, log, poolDecoder{}, nil, nil, nil)
 				ctx, cancel := context.WithCancel(context.Background())
 				var group sync.WaitGroup
-				group.Go(func() { writer.accepts.run(ctx) })
+				group.Go(func() { writer.acceptances.run(ctx) })
 				defer func() { cancel(); group.Wait() }()
-				for _, c := range writer.accepts.commits[:1] {
+				for _, c := range writer.acceptances.committers[:1] {
 					// Its home has refused: its jobs go to the next topic.
-					c.spare.Store(true)
+					c.otherFirst.Store(true)
 				}
 				used := map[Topic]bool{}
 				for i := range 60 {
 					id := workload.JobID(fmt.Sprintf("%016x", i*7919))
 					record := control.Record{Key: workload.AcceptedKey(id), Value: []byte(`{"id":"` + string(id) + `","queue":"q"}`)}
-					if err := writer.accepts.add(ctx, id, record); err != nil {
+					if err := writer.acceptances.add(ctx, id, record); err != nil {
 						t.Fatal(err)
 					}
-					if err := reader.accepts.look(ctx, id); err != nil {
+					if err := reader.acceptances.catchUp(ctx, id); err != nil {
 						t.Fatal(err)
 					}
 					if _, known := reader.book.Get(id); !known {
--- a/workload/service/service.go
+++ b/workload/service/service.go
@@ -57,63 +57,63 @@
 type Service struct {
 	settings Settings
 	// clock counts the ages of all that is known here.
-	clock      clock.Clock
-	log        Log
-	meter      *meter
-	decoder    Decoder
-	workers    Workers
-	events     *events.Log
-	metrics    *telemetry.Metrics
-	book       *workload.Book
-	succession *succession
-	standby    *standby
-	states     *follower
-	accepts    *acceptances
-	plans      *follower
-	declared   *follower
-	directory  atomic.Pointer[Directory]
-	waves      *waves
-	evacuated  *evacuated
-	back       *pulse
-	planning   atomic.Bool
+	clock        clock.Clock
+	log          Log
+	meter        *meter
+	decoder      Decoder
+	workers      Workers
+	events       *events.Log
+	metrics      *telemetry.Metrics
+	book         *workload.Book
+	succession   *succession
+	standby      *standby
+	states       *follower
+	acceptances  *acceptances
+	plans        *follower
+	declarations *follower
+	directory    atomic.Pointer[Directory]
+	waves        *maintenanceWaves
+	evacuations  *evacuations
+	logRecovered *broadcast
+	planning     atomic.Bool
 	// role is held while this instance claims or plays the planner's role: what it has read
 	// for that is let go only outside of it.
-	role sync.Mutex
+	roleMu sync.Mutex
 	// wrote is when the planner here sent its last write that succeeded.
-	wrote   atomic.Pointer[time.Time]
-	leaving atomic.Bool
+	lastPlanWrite atomic.Pointer[time.Time]
+	leaving       atomic.Bool
 	// shown are jobs of whose end callers were told here.
-	shownLock sync.Mutex
-	shown     map[workload.JobID]bool
+	reportedEndsMu sync.Mutex
+	reportedEnds   map[workload.JobID]bool
 }
 
 // New returns a service that has not read anything yet.
 func New(settings Settings, log Log, decoder Decoder, workers Workers, eventLog *events.Log, metrics *telemetry.Metrics) *Service {
 	metered := newMeter(log, metrics)
-	s := &Service{settings: settings, clock: settings.Clock, log: metered, meter: metered, decoder: decoder, workers: workers, events: eventLog, metrics: metrics, book: workload.NewBook(), waves: newWaves(), evacuated: newEvacuated(), shown: map[workload.JobID]bool{}, back: newPulse()}
-	s.succession = newSuccession(settings.Instance, drawLife(), settings.Patience, settings.Clock)
+	s := &Service{settings: settings, clock: settings.Clock, log: metered, meter: metered, decoder: decoder, workers: workers, events: eventLog, metrics: metrics, book: workload.NewBook(), waves: newMaintenanceWaves(), evacuations: newEvacuations(), reportedEnds: map[workload.JobID]bool{}, logRecovered: newBroadcast()}
+	s.succession = newSuccession(settings.Instance, newIncarnation(), settings.Patience, settings.Clock)
 	s.succession.authority = settings.Bounds.Authority
 	if settings.Address != "" {
 		// Until it knows its place it comes behind the others.
-		s.succession.setTurn(turnsInPatience)
+		s.succession.setTurn(turnsPerTimeout)
 	}
-	s.standby = newStandby(standbysOf(settings), settings.Patience, s.clock.Now())
-	s.states = s.follow(States, s.stateAll, s.state, s.noRest)
-	s.states.period = func() time.Duration { return statesPeriod }
-	s.accepts = newAcceptances(settings.AcceptHomes, metered, func(topic Topic) *follower {
-		return s.follow(topic, s.foldAll, s.fold, s.restOfReader)
+	s.standby = newStandby(standbyCount(settings), settings.Patience, s.clock.Now())
+	s.states = s.follow(States, s.applyStates, s.applyState, s.noPause)
+	s.states.interval = func() time.Duration { return statesReadInterval }
+	s.acceptances = newAcceptances(settings.AcceptHomes, metered, func(topic Topic) *follower {
+		return s.follow(topic, s.applyJobRecords, s.applyJobRecord, s.readerPause)
 	})
-	s.plans = s.follow(Plans, s.planAll, s.plan, s.restOfPlans)
-	s.declared = s.follow(Declarations, s.declareAll, s.declare, s.noRest)
-	s.declared.period = s.declaredPeriod
-	s.declared.wait = s.declaredWait
+	s.plans = s.follow(Plans, s.applyPlans, s.applyPlan, s.plansPause)
+	s.declarations = s.follow(Declarations, s.applyDeclarations, s.applyDeclaration, s.noPause)
+	s.declarations.interval = s.declarationsInterval
+	s.declarations.wait = s.declarationsWait
 	return s
 }
 
-func (s *Service) noRest() time.Duration { return 0 }
+func (s *Service) noPause() time.Duration { return 0 }
 
 // standbysOf is how many instances stand by.
-func standbysOf(settings Settings) int {
+func standbyCount(settings Settings) int {
 	if settings.Standbys <= 0 {
 		return math.MaxInt32
 	}
@@ -125,96 +125,96 @@
 	// planWait bounds the planner's reads that wait for news: a connection that has
 	// gone silent, or a log that keeps news from a read that waits, then costs a job
 	// no more than that. One instance reads so often, the others don't.
-	planWait = 250 * time.Millisecond
+	plannerWait = 250 * time.Millisecond
 	// readerRest is the rest of a standby after news. It has to be current by the time
 	// that the planner is taken for silent, which takes many times as long.
-	readerRest  = 200 * time.Millisecond
-	plannerRest = 10 * time.Millisecond
-	watcherRest = time.Second
+	standbyPause  = 200 * time.Millisecond
+	plannerPause  = 10 * time.Millisecond
+	ownPlansPause = time.Second
 )
 
 func (s *Service) follow(topic Topic, snapshot func([]Entry), record func(Entry), pause func() time.Duration) *follower {
-	retry := restRetry
+	retry := slowReadRetryPause
 	if topic == States {
 		// It finds out whether the log is back.
-		retry = followRetry
+		retry = readRetryPause
 	}
-	return &follower{topic: topic, log: s.log, wait: s.readWait, pause: pause, retry: retry, back: s.back, clock: s.clock, snapshot: snapshot, record: record, changed: s.connection}
+	return &follower{topic: topic, log: s.log, wait: s.readWait, pause: pause, retry: retry, logRecovered: s.logRecovered, clock: s.clock, applyAll: snapshot, applyOne: record, connectionChanged: s.reportConnection}
 }
 
 func (s *Service) readWait() time.Duration {
 	if s.planning.Load() {
-		return planWait
+		return plannerWait
 	}
 	return readerWait
 }
 
-func (s *Service) restOfReader() time.Duration {
+func (s *Service) readerPause() time.Duration {
 	if s.planning.Load() {
-		return plannerRest
+		return plannerPause
 	}
-	return readerRest
+	return standbyPause
 }
 
 // A planner need not read what it has written itself.
-func (s *Service) restOfPlans() time.Duration {
+func (s *Service) plansPause() time.Duration {
 	if s.planning.Load() {
-		return watcherRest
+		return ownPlansPause
 	}
-	return readerRest
+	return standbyPause
 }
 
-func (s *Service) connection(topic Topic, ok bool, cause string) {
+func (s *Service) reportConnection(topic Topic, ok bool, cause string) {
 	if ok {
 		s.events.Info(events.DependencyRegained, events.Fields{"dependency": "log", "topic": string(topic)})
 		if topic == Plans {
-			s.succession.regained(s.silentSince(s.clock.Now()))
+			s.succession.resetSilence(s.plannerSilentSince(s.clock.Now()))
 		}
 		return
 	}
 	s.events.Info(events.DependencyLost, events.Fields{"dependency": "log", "topic": string(topic), "cause": cause})
 }
 
-func (s *Service) foldAll(entries []Entry) {
+func (s *Service) applyJobRecords(entries []Entry) {
 	for _, e := range entries {
-		s.fold(e)
+		s.applyJobRecord(e)
 	}
 }
 
-func (s *Service) fold(e Entry) {
+func (s *Service) applyJobRecord(e Entry) {
 	if err := s.book.Fold(e.Offset, e.Key, e.Value); err != nil {
-		s.noteUnreadable(e, err)
+		s.logUnreadable(e, err)
 	}
 }
 
-func (s *Service) planAll(entries []Entry) {
+func (s *Service) applyPlans(entries []Entry) {
 	for _, e := range entries {
-		s.plan(e)
+		s.applyPlan(e)
 	}
-	s.succession.regained(s.silentSince(s.clock.Now()))
+	s.succession.resetSilence(s.plannerSilentSince(s.clock.Now()))
 }
 
-func (s *Service) plan(e Entry) {
+func (s *Service) applyPlan(e Entry) {
 	s.succession.observe(e, s.clock.Now())
-	s.keepPlan(e)
+	s.storePlanRecord(e)
 }
 
 // keepPlan keeps a record of the planner's, that of a wave or of a job.
-func (s *Service) keepPlan(e Entry) {
+func (s *Service) storePlanRecord(e Entry) {
 	switch {
-	case e.Key == claimKey || e.Key == signKey:
+	case e.Key == claimKey || e.Key == planHeartbeatKey:
 	case control.IsWaveKey(e.Key):
 		s.waves.record(e)
 	default:
-		s.fold(e)
+		s.applyJobRecord(e)
 	}
 }
 
 // mostProblems bounds the lines about one configuration.
-const mostProblems = 20
+const maxLoggedProblems = 20
 
 // noteUnreadable says that an entry, or a part of one, is not used.
-func (s *Service) noteUnreadable(e Entry, err error) {
+func (s *Service) logUnreadable(e Entry, err error) {
 	reason := FaultSyntax
 	if problem := (*EntryError)(nil); errors.As(err, &problem) {
 		reason = problem.Fault
@@ -225,10 +225,10 @@
 // Run works until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, work := range []func(context.Context){newMembers(s).run, s.states.run, s.declared.run, s.accepts.run, s.standBy, s.elect, s.watchSuspensions} {
+	for _, work := range []func(context.Context){newMembers(s).run, s.states.run, s.declarations.run, s.acceptances.run, s.runStandby, s.elect, s.watchSuspensions} {
 		group.Go(func() { work(ctx) })
 	}
-	group.Go(func() { s.meter.tell(ctx, s.events) })
+	group.Go(func() { s.meter.logPeriodically(ctx, s.events) })
 	group.Wait()
 }
 
@@ -237,7 +237,7 @@
 
 // Ready tells whether new callers are served well here.
 func (s *Service) Ready() bool {
-	return !s.leaving.Load() && s.Current() == nil && s.reaches()
+	return !s.leaving.Load() && s.CheckCurrent() == nil && s.isLogReachable()
 }
 
 // Directory returns the configuration in force; nil before the first.
@@ -261,25 +261,25 @@
 	began := s.clock.Now()
 	err = s.commit(ctx, job.ID, record)
 	if err == nil {
-		s.fold(Entry{Key: record.Key, Value: value})
+		s.applyJobRecord(Entry{Key: record.Key, Value: value})
 		s.metrics.Observe(telemetry.Acceptance, s.clock.Since(began))
-		s.events.Info(events.JobAccepted, events.Fields{"job": job.ID, "queue": job.Queue, "account": job.Account, "steps": len(job.Steps), "features": job.Features(), "shape": shape(job), "version": s.version(), "took_ms": s.clock.Since(began).Milliseconds()})
+		s.events.Info(events.JobAccepted, events.Fields{"job": job.ID, "queue": job.Queue, "account": job.Account, "steps": len(job.Steps), "features": job.Features(), "shape": loggedShape(job), "version": s.configurationVersion(), "took_ms": s.clock.Since(began).Milliseconds()})
 		return nil
 	}
 	if _, known := s.book.Get(job.ID); known {
 		return nil
 	}
-	return s.refuse(job.ID, logRefusal(err))
+	return s.refuse(job.ID, logErrorRefusal(err))
 }
 
 // longestShape bounds what a line says of a job's steps.
-const longestShape = 1000
+const maxLoggedShapeBytes = 1000
 
 // shape is the job's steps as a line has them, so that a load can be played
 // again; "" where that is too long.
-func shape(job *workload.Job) string {
+func loggedShape(job *workload.Job) string {
 	text, err := json.Marshal(job.Steps)
-	if err != nil || len(text) > longestShape {
+	if err != nil || len(text) > maxLoggedShapeBytes {
 		return ""
 	}
 	return string(text)
@@ -290,7 +290,7 @@
 
 func (s *Service) refuse(id workload.JobID, err error) error {
 	refusal := domain.AsRefusal(err)
-	s.events.Info(events.JobRefused, events.Fields{"job": id, "reason": refusal.Reason, "outcome": refusal.Outcome, "cause": refusal.Message, "version": s.version(), "log_age_ms": s.statesAge(s.clock.Now()).Milliseconds()})
+	s.events.Info(events.JobRefused, events.Fields{"job": id, "reason": refusal.Reason, "outcome": refusal.Outcome, "cause": refusal.Message, "version": s.configurationVersion(), "log_age_ms": s.statesAge(s.clock.Now()).Milliseconds()})
 	return refusal
 }
 
@@ -298,25 +298,25 @@
 // another instance: this one may be the only one that is cut off.
 func (s *Service) commit(ctx context.Context, id workload.JobID, record control.Record) error {
 	if deadline, ok := ctx.Deadline(); ok {
-		limited, cancel := context.WithTimeout(ctx, max(time.Until(deadline)/2, leastCommit))
+		limited, cancel := context.WithTimeout(ctx, max(time.Until(deadline)/2, minCommitTimeout))
 		defer cancel()
 		ctx = limited
 	}
-	return s.accepts.add(ctx, id, record)
+	return s.acceptances.add(ctx, id, record)
 }
 
 // leastCommit is the least time that a record is given.
-const leastCommit = time.Second
+const minCommitTimeout = time.Second
 
 // logRefusal turns an error of the log into what it proves.
-func logRefusal(err error) error {
+func logErrorRefusal(err error) error {
 	if errors.Is(err, ErrUnknown) || !errors.Is(err, ErrNotDone) {
 		return domain.OutcomeUnknown(domain.ReasonLogUnavailable, err.Error())
 	}
 	return domain.Refuse(domain.ReasonLogUnavailable, "", err.Error(), "come back later").After(time.Second)
 }
 
-func (s *Service) version() int64 {
+func (s *Service) configurationVersion() int64 {
 	if d := s.directory.Load(); d != nil {
 		return d.Version
 	}
@@ -327,40 +327,40 @@
 // that nobody handed it in. A final state stands for good, so that it is told
 // however long ago it was read.
 func (s *Service) State(ctx context.Context, id workload.JobID) (workload.State, error) {
-	state, err := s.stateOf(ctx, id)
+	state, err := s.latestState(ctx, id)
 	if err == nil && state.Final() {
-		s.noteShown(id, state)
+		s.recordReportedEnd(id, state)
 	}
 	return state, err
 }
 
 // mostShown bounds the jobs that are remembered as shown; then it begins anew.
-const mostShown = 10_000
+const maxReportedEnds = 10_000
 
 // noteShown says when callers are first told of an end: until then it has not happened
 // for them.
-func (s *Service) noteShown(id workload.JobID, state workload.State) {
-	s.shownLock.Lock()
-	known := s.shown[id]
-	if len(s.shown) >= mostShown {
-		clear(s.shown)
-	}
-	s.shown[id] = true
-	s.shownLock.Unlock()
+func (s *Service) recordReportedEnd(id workload.JobID, state workload.State) {
+	s.reportedEndsMu.Lock()
+	known := s.reportedEnds[id]
+	if len(s.reportedEnds) >= maxReportedEnds {
+		clear(s.reportedEnds)
+	}
+	s.reportedEnds[id] = true
+	s.reportedEndsMu.Unlock()
 	if !known {
 		s.events.Info(events.JobShown, events.Fields{"job": id, "state": string(state)})
 	}
 }
 
-func (s *Service) stateOf(ctx context.Context, id workload.JobID) (workload.State, error) {
+func (s *Service) latestState(ctx context.Context, id workload.JobID) (workload.State, error) {
 	if e, known := s.book.Get(id); known && e.State.Final() {
 		return e.Shown(), nil
 	}
-	s.refresh(ctx)
-	if err := s.Current(); err != nil {
+	s.refreshStates(ctx)
+	if err := s.CheckCurrent(); err != nil {
 		return "", err
 	}
-	e, err := s.find(ctx, id)
+	e, err := s.findJob(ctx, id)
 	if err == nil && e.Shown() == workload.Running {
 		e = s.awaitEnd(ctx, id, e)
 	}
@@ -369,11 +369,11 @@
 
 // find returns a job's entry. One that is not known here may have been accepted
 // elsewhere a moment ago, so the log is read to its end before it is denied.
-func (s *Service) find(ctx context.Context, id workload.JobID) (workload.Entry, error) {
+func (s *Service) findJob(ctx context.Context, id workload.JobID) (workload.Entry, error) {
 	if e, known := s.book.Get(id); known {
 		return e, nil
 	}
-	if err := s.lookForJob(ctx, id); err != nil {
+	if err := s.catchUpForJob(ctx, id); err != nil {
 		return workload.Entry{}, err
 	}
 	if e, known := s.book.Get(id); known {
@@ -384,7 +384,7 @@
 
 // Cancel stops a job for good.
 func (s *Service) Cancel(ctx context.Context, id workload.JobID) error {
-	e, err := s.find(ctx, id)
+	e, err := s.findJob(ctx, id)
 	if err != nil {
 		return err
 	}
@@ -393,16 +393,16 @@
 	}
 	record := control.Record{Key: workload.CancelledKey(id), Value: []byte("{}")}
 	if err := s.commit(ctx, id, record); err != nil {
-		return s.refuse(id, logRefusal(err))
+		return s.refuse(id, logErrorRefusal(err))
 	}
-	s.fold(Entry{Key: record.Key, Value: record.Value})
+	s.applyJobRecord(Entry{Key: record.Key, Value: record.Value})
 	s.events.Info(events.JobCancelled, events.Fields{"job": id})
 	return nil
 }
 
 // Pending returns how many accepted jobs of a queue have not begun.
 func (s *Service) Pending(queue string) (int, error) {
-	if err := s.Current(); err != nil {
+	if err := s.CheckCurrent(); err != nil {
 		return 0, err
 	}
 	return s.book.Pending(queue), nil
--- a/workload/service/firstread.go
+++ b/workload/service/snapshot.go
@@ -12,7 +12,7 @@
 // firstRead is the read of the newest record of each key, page by page. A page
 // that was read is kept over a try that fails: an instance on a thin link reads
 // what is left, and not all of it again.
-type firstRead struct {
+type snapshotReader struct {
 	entries []Entry
 	after   string
 	// pages were read; began is when the first one was asked for, and end where
@@ -24,7 +24,7 @@
 
 // read goes on to the last page. Nothing of it may be acted on before: the
 // records of one job may be on several pages.
-func (r *firstRead) read(ctx context.Context, log Log, topic Topic, ages clock.Clock) error {
+func (r *snapshotReader) read(ctx context.Context, log Log, topic Topic, ages clock.Clock) error {
 	for {
 		asked := ages.Now()
 		page, err := log.Newest(ctx, topic, r.after)
--- a/workload/service/standby_test.go
+++ b/workload/service/standby_test.go
@@ -16,12 +16,12 @@
 	for _, instances := range []int{6, 30, 147, 300, 1000} {
 		now := time.Unix(1000, 0)
 		reading := standbys
-		for at := time.Duration(0); at < 10*patience; at += standbyEvery {
+		for at := time.Duration(0); at < 10*patience; at += standbyInterval {
 			count := 0
 			for place := range instances {
 				s := newStandby(standbys, patience, now)
-				s.setPlace(place)
-				if s.wants(now.Add(at)) {
+				s.setRank(place)
+				if s.shouldRead(now.Add(at)) {
 					count++
 				}
 			}
@@ -39,28 +39,28 @@
 func TestAnInstanceThatIsNotNeededReadsNothingOfThePlans(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newStandby(5, patience, now)
-	if s.wants(now.Add(wakeAfter * patience)) {
+	if s.shouldRead(now.Add(activateAfter * patience)) {
 		t.Fatal("reads before it knows its place, and before any silence")
 	}
-	s.setPlace(9)
+	s.setRank(9)
 	for range 10 {
 		now = now.Add(patience)
-		s.heard(now)
-		if s.wants(now.Add(patience)) {
+		s.recordHeard(now)
+		if s.shouldRead(now.Add(patience)) {
 			t.Fatal("reads while a planner is heard")
 		}
 	}
 	later := now.Add(4 * patience)
-	if !s.wants(later) {
+	if !s.shouldRead(later) {
 		t.Fatal("does not read though no planner is heard")
 	}
-	s.heard(later)
-	if !s.wants(later.Add(patience)) {
+	s.recordHeard(later)
+	if !s.shouldRead(later.Add(patience)) {
 		t.Fatal("stops reading at the first sign of a planner")
 	}
-	later = later.Add((standbyRest + 1) * patience)
-	s.heard(later)
-	if s.wants(later) {
+	later = later.Add((standbyLinger + 1) * patience)
+	s.recordHeard(later)
+	if s.shouldRead(later) {
 		t.Fatal("reads on though it is not needed")
 	}
 }
@@ -75,7 +75,7 @@
 		all[fmt.Sprintf("a-weak-%02d", i)] = member{Power: 0.2, DataCentre: fmt.Sprint(i % 5)}
 	}
 	seen := map[string]bool{}
-	for _, name := range candidates(all)[:5] {
+	for _, name := range orderCandidates(all)[:5] {
 		if all[name].Power < 0.8 {
 			t.Fatalf("%s stands by before stronger ones", name)
 		}
@@ -95,14 +95,14 @@
 		}
 		places := map[int]bool{}
 		for name := range all {
-			m := &members{self: name, own: all[name], known: map[string]member{}}
+			m := &members{self: name, own: all[name], others: map[string]member{}}
 			for other, of := range all {
 				if other != name {
-					m.known[other] = of
+					m.others[other] = of
 				}
 			}
 			m.changed = func(_ []string, place int) { places[place] = true }
-			m.tell()
+			m.notifyChanged()
 		}
 		if len(places) != len(all) {
 			t.Fatalf("%d places for %d instances", len(places), len(all))
@@ -120,13 +120,13 @@
 		all[fmt.Sprintf("weak-%02d", i)] = member{Address: fmt.Sprintf("weak-%02d", i), Power: 0.2}
 	}
 	peersOf := func(name string) (out []string) {
-		m := &members{self: name, own: all[name], known: map[string]member{}, changed: func(others []string, _ int) { out = others }}
+		m := &members{self: name, own: all[name], others: map[string]member{}, changed: func(others []string, _ int) { out = others }}
 		for other, of := range all {
 			if other != name {
-				m.known[other] = of
+				m.others[other] = of
 			}
 		}
-		m.tell()
+		m.notifyChanged()
 		return out
 	}
 	if first := peersOf("strong-2")[:4]; !slices.Equal(first, []string{"strong-0", "strong-1", "strong-3", "strong-4"}) {
--- a/workload/service/succession.go
+++ b/workload/service/succession.go
@@ -16,42 +16,42 @@
 
 // Keys of the planner's own records.
 const (
-	claimKey = "planner"
-	signKey  = "sign"
+	claimKey         = "planner"
+	planHeartbeatKey = "sign"
 )
 
 // claim is the record by which an instance takes the planner's role. The
 // offset at which it stands makes the fencing token.
 type claim struct {
 	// Holder is the instance; Life tells its lives, and those of others, apart.
-	Holder string `json:"holder"`
-	Life   int64  `json:"life"`
+	Holder      string `json:"holder"`
+	Incarnation int64  `json:"life"`
 	// Left tells that the holder has given the role up.
-	Left bool `json:"left,omitempty"`
+	Resigned bool `json:"left,omitempty"`
 }
 
 // succession watches the planner's records and says when to claim the role.
 type succession struct {
-	mu       sync.Mutex
-	self     claim
-	patience time.Duration
-	clock    clock.Clock
-	current  claim
-	offset   int64
-	known    bool
+	mu             sync.Mutex
+	self           claim
+	plannerTimeout time.Duration
+	clock          clock.Clock
+	current        claim
+	offset         int64
+	hasClaim       bool
 	// sent is when the claim at the offset was sent, where it is this life's and was answered.
-	sent time.Time
+	claimSentAt time.Time
 	// authority is how long a planner gives orders after its last write.
 	authority time.Duration
 	// claimedAt is when the standing claim was read first. endedAt is from when on nobody gives
 	// orders, where the last planner has resigned, and inheritedAt what that was at the claim
 	// that followed; zero is unknown.
-	claimedAt, endedAt, inheritedAt time.Time
+	claimReadAt, ordersEndedAt, inheritedOrdersEndedAt time.Time
 	// quiet is when the last record came, or the connection was regained.
-	quiet time.Time
+	silentSince time.Time
 	// spent is the offset of a claim of this life that was given up. Its token
 	// must not be used again: the log would take new appends for repetitions.
-	spent int64
+	abandonedOffset int64
 	// turn is this instance's place among the candidates; 0 claims first.
 	turn int
 	// notBefore delays the next claim after one that failed.
@@ -60,35 +60,35 @@
 
 // claimRest is the pause after a claim that failed; by then the topic has been
 // read again.
-const claimRest = 400 * time.Millisecond
+const claimRetryPause = 400 * time.Millisecond
 
 // failed delays the next claim.
-func (s *succession) failed(now time.Time) {
+func (s *succession) claimFailed(now time.Time) {
 	s.mu.Lock()
-	s.notBefore = now.Add(claimRest)
+	s.notBefore = now.Add(claimRetryPause)
 	s.mu.Unlock()
 }
 
 // firstSeq starts the sequence of a life's appends. It differs between lives,
 // so that the log never takes the claim of one for a repetition of another's.
-func (s *succession) firstSeq() int64 { return s.self.Life%seqSpace + 1 }
+func (s *succession) firstSeq() int64 { return s.self.Incarnation%seqSpace + 1 }
 
 const seqSpace = 1 << 40
 
 // drawLife returns a number for a life of an instance. It is drawn, since two lives may begin
 // at one time of day, which is set back and forth: with one number the log would take the claim
 // of the second for a repetition of the first's, and both would plan.
-func drawLife() int64 { return 1 + rand.Int64N(math.MaxInt64-1) }
+func newIncarnation() int64 { return 1 + rand.Int64N(math.MaxInt64-1) }
 
 func newSuccession(holder string, life int64, patience time.Duration, ages clock.Clock) *succession {
-	return &succession{self: claim{Holder: holder, Life: life}, patience: patience, clock: ages, quiet: ages.Now(), offset: -1, spent: -1}
+	return &succession{self: claim{Holder: holder, Incarnation: life}, plannerTimeout: patience, clock: ages, silentSince: ages.Now(), offset: -1, abandonedOffset: -1}
 }
 
 // observe takes a record of the planner's topic.
 func (s *succession) observe(e Entry, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quiet = now
+	s.silentSince = now
 	if e.Key != claimKey || e.Offset < s.offset {
 		return
 	}
@@ -97,24 +97,24 @@
 		return
 	}
 	if e.Offset > s.offset {
-		s.sent = time.Time{}
-		s.follow(next, now)
+		s.claimSentAt = time.Time{}
+		s.recordSuccessor(next, now)
 	}
 	s.current = next
 	s.offset = e.Offset
-	s.known = true
+	s.hasClaim = true
 }
 
 // follow notes when orders end, with the record that follows the current one. Before a planner
 // that resigns there may have been another one, which gave orders until its authority was over.
-func (s *succession) follow(next claim, now time.Time) {
-	if !next.Left {
-		s.claimedAt, s.inheritedAt, s.endedAt = now, s.endedAt, time.Time{}
+func (s *succession) recordSuccessor(next claim, now time.Time) {
+	if !next.Resigned {
+		s.claimReadAt, s.inheritedOrdersEndedAt, s.ordersEndedAt = now, s.ordersEndedAt, time.Time{}
 		return
 	}
-	s.endedAt = time.Time{}
-	if s.known && !s.current.Left && s.current.Life == next.Life {
-		s.endedAt = later(now, s.claimedAt.Add(s.authority))
+	s.ordersEndedAt = time.Time{}
+	if s.hasClaim && !s.current.Resigned && s.current.Incarnation == next.Incarnation {
+		s.ordersEndedAt = later(now, s.claimReadAt.Add(s.authority))
 	}
 }
 
@@ -130,68 +130,68 @@
 func (s *succession) ordersEnded() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sent.IsZero() {
+	if s.claimSentAt.IsZero() {
 		return time.Time{}
 	}
-	return s.inheritedAt
+	return s.inheritedOrdersEndedAt
 }
 
 // regained starts the wait anew: silence counts only while it could be broken.
-func (s *succession) regained(now time.Time) {
+func (s *succession) resetSilence(now time.Time) {
 	s.mu.Lock()
-	s.quiet = now
+	s.silentSince = now
 	s.mu.Unlock()
 }
 
 // mine returns the token if this life holds the claim.
-func (s *succession) mine() (int64, bool) {
+func (s *succession) heldToken() (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.offset + 1, s.holds() && s.spent != s.offset
+	return s.offset + 1, s.holdsClaim() && s.abandonedOffset != s.offset
 }
 
-func (s *succession) holds() bool {
-	return s.known && !s.current.Left && s.current.Holder == s.self.Holder && s.current.Life == s.self.Life
+func (s *succession) holdsClaim() bool {
+	return s.hasClaim && !s.current.Resigned && s.current.Holder == s.self.Holder && s.current.Incarnation == s.self.Incarnation
 }
 
 // spend gives the claim with the token up.
-func (s *succession) spend(token int64) {
+func (s *succession) abandon(token int64) {
 	s.mu.Lock()
-	s.spent = max(s.spent, token-1)
+	s.abandonedOffset = max(s.abandonedOffset, token-1)
 	s.mu.Unlock()
 }
 
 // due tells whether to claim: at once where the holder has left, or was an
 // earlier life of this instance; else after a silence that is longer for some
 // instances than for others, so that they do not all claim together.
-func (s *succession) due(now time.Time) bool {
+func (s *succession) isClaimDue(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Before(s.notBefore) {
 		return false
 	}
-	if s.holds() && s.spent == s.offset {
+	if s.holdsClaim() && s.abandonedOffset == s.offset {
 		return true
 	}
-	turn := time.Duration(s.turn) * s.patience / turnsInPatience
-	if s.known && s.current.Holder == s.self.Holder && s.current.Life != s.self.Life {
+	turn := time.Duration(s.turn) * s.plannerTimeout / turnsPerTimeout
+	if s.hasClaim && s.current.Holder == s.self.Holder && s.current.Incarnation != s.self.Incarnation {
 		return true
 	}
-	if s.known && s.current.Left {
-		return now.Sub(s.quiet) > turn/2
+	if s.hasClaim && s.current.Resigned {
+		return now.Sub(s.silentSince) > turn/2
 	}
-	return now.Sub(s.quiet) > s.patience+turn
+	return now.Sub(s.silentSince) > s.plannerTimeout+turn
 }
 
 // turnsInPatience is how many turns pass in one patience: turns are far enough
 // apart that the claim of one candidate is read before the next one's is due.
-const turnsInPatience = 16
+const turnsPerTimeout = 16
 
 // setTurn gives this instance its place among the candidates. Those far behind
 // share a turn: nobody waits for more than two patiences.
 func (s *succession) setTurn(turn int) {
 	s.mu.Lock()
-	s.turn = min(turn, turnsInPatience)
+	s.turn = min(turn, turnsPerTimeout)
 	s.mu.Unlock()
 }
 
@@ -206,7 +206,7 @@
 
 // take claims the role for the topic's end as this instance knows it. Of
 // several instances that claim at one end the log lets one succeed.
-func (s *succession) take(ctx context.Context, log Log, end int64) (int64, error) {
+func (s *succession) claim(ctx context.Context, log Log, end int64) (int64, error) {
 	token := end + 1
 	sent := s.clock.Now()
 	_, err := log.Append(ctx, Plans, []control.Record{s.self.record()}, &Writer{Epoch: token, Seq: s.firstSeq(), Expect: end})
@@ -214,26 +214,26 @@
 		return 0, err
 	}
 	s.observe(Entry{Offset: end, Key: claimKey, Value: s.self.record().Value}, s.clock.Now())
-	s.answered(end, sent)
+	s.recordClaimSent(end, sent)
 	return token, nil
 }
 
 // answered notes when the claim at an offset was sent.
-func (s *succession) answered(offset int64, sent time.Time) {
+func (s *succession) recordClaimSent(offset int64, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.offset == offset {
-		s.sent = sent
+		s.claimSentAt = sent
 	}
 }
 
 // claimed is when the claim that this life holds was sent; zero where it had no answer, so
 // that nothing tells how long ago it was carried out.
-func (s *succession) claimed() time.Time {
+func (s *succession) claimSent() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sent
+	return s.claimSentAt
 }
 
 // fenced tells whether an error means that another planner has written.
-func fenced(err error) bool { return errors.Is(err, ErrFenced) || errors.Is(err, ErrMoved) }
+func isFenced(err error) bool { return errors.Is(err, ErrFenced) || errors.Is(err, ErrMoved) }
--- a/workload/service/succession_test.go
+++ b/workload/service/succession_test.go
@@ -68,7 +68,7 @@
 	won := 0
 	for life := range int64(5) {
 		s := newSuccession("edge", life+1, patience, nil)
-		if _, err := s.take(context.Background(), log, 0); err == nil {
+		if _, err := s.claim(context.Background(), log, 0); err == nil {
 			won++
 		}
 	}
@@ -80,18 +80,18 @@
 func TestAClaimThatWasGivenUpIsNotTakenUpAgain(t *testing.T) {
 	log := &memory{}
 	s := newSuccession("edge", 1, patience, nil)
-	token, err := s.take(context.Background(), log, 0)
+	token, err := s.claim(context.Background(), log, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.spend(token)
-	if _, mine := s.mine(); mine {
+	s.abandon(token)
+	if _, mine := s.heldToken(); mine {
 		t.Fatal("the token of a claim that was given up is used again")
 	}
-	if !s.due(time.Now()) {
+	if !s.isClaimDue(time.Now()) {
 		t.Fatal("the role stays vacant")
 	}
-	next, err := s.take(context.Background(), log, 1)
+	next, err := s.claim(context.Background(), log, 1)
 	if err != nil || next <= token {
 		t.Fatalf("token %d after %d, %v", next, token, err)
 	}
@@ -100,22 +100,22 @@
 func TestTheRoleIsClaimedAfterSilenceAndAtOnceWhereItWasLeft(t *testing.T) {
 	log := &memory{}
 	first, second := newSuccession("a", 1, patience, nil), newSuccession("b", 2, patience, nil)
-	if _, err := first.take(context.Background(), log, 0); err != nil {
+	if _, err := first.claim(context.Background(), log, 0); err != nil {
 		t.Fatal(err)
 	}
 	log.tell(second)
 	now := time.Now()
-	if second.due(now) {
+	if second.isClaimDue(now) {
 		t.Fatal("claims although the planner has just written")
 	}
-	if !second.due(now.Add(2 * patience)) {
+	if !second.isClaimDue(now.Add(2 * patience)) {
 		t.Fatal("does not claim after a silence")
 	}
 	left := first.self
-	left.Left = true
+	left.Resigned = true
 	log.records = append(log.records, Entry{Offset: 1, Key: claimKey, Value: left.record().Value})
 	log.tell(second)
-	if !second.due(time.Now().Add(patience / 2)) {
+	if !second.isClaimDue(time.Now().Add(patience / 2)) {
 		t.Fatal("waits although the role was left")
 	}
 }
@@ -123,14 +123,14 @@
 func TestAnInstanceSucceedsItsOwnEarlierLifeAtOnce(t *testing.T) {
 	log := &memory{}
 	first, again := newSuccession("a", 1, patience, nil), newSuccession("a", 2, patience, nil)
-	if _, err := first.take(context.Background(), log, 0); err != nil {
+	if _, err := first.claim(context.Background(), log, 0); err != nil {
 		t.Fatal(err)
 	}
 	log.tell(again)
-	if _, mine := again.mine(); mine {
+	if _, mine := again.heldToken(); mine {
 		t.Fatal("takes the claim of an earlier life for its own")
 	}
-	if !again.due(time.Now()) {
+	if !again.isClaimDue(time.Now()) {
 		t.Fatal("waits for itself")
 	}
 }
@@ -138,26 +138,26 @@
 func TestSilenceCountsOnlyWhileItCouldBeBroken(t *testing.T) {
 	s := newSuccession("a", 1, patience, nil)
 	later := time.Now().Add(10 * patience)
-	s.regained(later)
-	if s.due(later.Add(patience / 2)) {
+	s.resetSilence(later)
+	if s.isClaimDue(later.Add(patience / 2)) {
 		t.Fatal("claims right after its connection came back")
 	}
 }
 
 func TestStrongerInstancesClaimFirst(t *testing.T) {
 	place := -1
-	m := &members{self: "b", own: member{Power: 0.4}, known: map[string]member{}, changed: func(_ []string, p int) { place = p }}
+	m := &members{self: "b", own: member{Power: 0.4}, others: map[string]member{}, changed: func(_ []string, p int) { place = p }}
 	for name, power := range map[string]string{"a": "0.2", "c": "0.8", "d": "0.8", "e": "0.1"} {
-		m.note(Entry{Key: name, Value: []byte(`{"address":"x","power":` + power + `}`)})
+		m.apply(Entry{Key: name, Value: []byte(`{"address":"x","power":` + power + `}`)})
 	}
-	m.tell()
+	m.notifyChanged()
 	if place != 2 {
 		t.Fatalf("place %d, want 2", place)
 	}
 	strong, weak := newSuccession("a", 1, patience, nil), newSuccession("b", 2, patience, nil)
 	weak.setTurn(place)
-	when := time.Now().Add(patience + patience/turnsInPatience)
-	if !strong.due(when) || weak.due(when) {
+	when := time.Now().Add(patience + patience/turnsPerTimeout)
+	if !strong.isClaimDue(when) || weak.isClaimDue(when) {
 		t.Fatal("the weak one claims as early as the strong one")
 	}
 }
@@ -181,7 +181,7 @@
 		log := newShared(1 << 20)
 		won := 0
 		for _, one := range p.instances {
-			if _, err := one.succession.take(context.Background(), log, 0); err == nil {
+			if _, err := one.succession.claim(context.Background(), log, 0); err == nil {
 				won++
 			}
 		}
--- a/workload/service/waking.go
+++ b/workload/service/suspension.go
@@ -10,10 +10,10 @@
 
 const (
 	// wakeLook is how often it is looked whether this instance was suspended.
-	wakeLook = 100 * time.Millisecond
+	suspensionCheckInterval = 100 * time.Millisecond
 	// suspendedLeast is the least suspension that is told: two clocks that are read one
 	// after the other differ by less.
-	suspendedLeast = 200 * time.Millisecond
+	minSuspension = 200 * time.Millisecond
 )
 
 // watchSuspensions notices that this instance was suspended: the clock of ages ran on and
@@ -25,10 +25,10 @@
 	}
 	ages, steady := s.clock.Now(), time.Now()
 	for ctx.Err() == nil {
-		sleep(ctx, wakeLook)
+		sleep(ctx, suspensionCheckInterval)
 		slept := s.clock.Since(ages) - time.Since(steady)
 		ages, steady = s.clock.Now(), time.Now()
-		if slept < suspendedLeast {
+		if slept < minSuspension {
 			continue
 		}
 		s.events.Info(events.Suspended, events.Fields{"for_ms": slept.Milliseconds(), "planning": s.planning.Load()})
@@ -41,8 +41,8 @@
 
 // mayStillOrder tells whether an order may leave now. It is asked where the order is sent:
 // the instance may have been suspended since that was decided.
-func (p *planner) mayStillOrder() bool {
+func (p *planner) canOrderNow() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.acting(p.s.clock.Now())
+	return p.canOrder(p.s.clock.Now())
 }
--- a/workload/service/waking_test.go
+++ b/workload/service/suspension_test.go
@@ -50,7 +50,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, one := range p.planners() {
-		token, _ := one.succession.mine()
+		token, _ := one.succession.heldToken()
 		s.at[token], s.confirmed[token] = time.Now(), false
 		if counted {
 			one.ahead.Add(int64(lasts))
@@ -105,7 +105,7 @@
 				t.Fatalf("%s is not ready", one.name)
 			}
 			one.ahead.Add(int64(5 * time.Second))
-			if err := one.Current(); err == nil || one.Ready() {
+			if err := one.CheckCurrent(); err == nil || one.Ready() {
 				t.Errorf("%s (planning %t) answers from what it had read before it was suspended", one.name, one.planning.Load())
 			}
 		}
--- a/workload/service/term_test.go
+++ b/workload/service/term_test.go
@@ -108,7 +108,7 @@
 	b := p.second.standby
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.place, b.wanted, b.quiet = place, time.Time{}, time.Now()
+	b.rank, b.neededAt, b.heardAt = place, time.Time{}, time.Now()
 }
 
 // losePlanner ends the first instance.
@@ -138,7 +138,7 @@
 				defer p.stopAll()
 				p.log.atClaim(func() bool {
 					p.unneeded(9)
-					time.Sleep(3 * standbyEvery)
+					time.Sleep(3 * standbyInterval)
 					if again > 0 {
 						p.log.late.Go(func() {
 							time.Sleep(again)
@@ -260,7 +260,7 @@
 		if age := one.states.age(time.Now()); age > one.settings.Stale {
 			t.Fatalf("the states were read %v ago", age)
 		}
-		if err := one.Current(); err != nil {
+		if err := one.CheckCurrent(); err != nil {
 			t.Errorf("an instance that has just read the log refuses its callers: %v", err)
 		}
 		log.unblock()
@@ -275,7 +275,7 @@
 		for range 20_000 {
 			time.Sleep(time.Millisecond)
 			now := p.second.planning.Load()
-			if now && !begun && !p.second.current() {
+			if now && !begun && !p.second.caughtUp() {
 				n++
 			}
 			begun = now
@@ -319,9 +319,9 @@
 		claims, kept := 0, 0
 		p.log.atClaim(func() bool {
 			p.unneeded(9)
-			time.Sleep(3 * standbyEvery)
+			time.Sleep(3 * standbyInterval)
 			claims++
-			if p.second.current() {
+			if p.second.caughtUp() {
 				kept++
 			}
 			return false
@@ -339,16 +339,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := New(poolSettings("edge-0", 1, "0"), newShared(poolRate), poolDecoder{}, nil, nil, nil)
 		s.directory.Store(&Directory{})
-		for _, f := range s.plannersOwn() {
-			f.following(true)
-			if err := f.readNewest(t.Context()); err != nil {
+		for _, f := range s.planningTopics() {
+			f.setFollowing(true)
+			if err := f.readSnapshot(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if !s.readFor(1) {
+		if !s.caughtUpTo(1) {
 			t.Fatal("a claim at the place that was read to is not read for")
 		}
-		if s.readFor(6) {
+		if s.caughtUpTo(6) {
 			t.Error("a claim five records beyond what was read is read for")
 		}
 	})
@@ -359,18 +359,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := New(poolSettings("edge-0", 1, "0"), newShared(poolRate), poolDecoder{}, nil, nil, nil).succession
 		began := time.Now()
-		if _, err := s.take(t.Context(), newShared(poolRate), 0); err != nil {
+		if _, err := s.claim(t.Context(), newShared(poolRate), 0); err != nil {
 			t.Fatal(err)
 		}
-		if got := s.claimed(); !got.Equal(began) {
+		if got := s.claimSent(); !got.Equal(began) {
 			t.Errorf("the answered claim was sent at %v, want %v", got, began)
 		}
 		s.observe(Entry{Offset: 0, Key: claimKey, Value: s.self.record().Value}, time.Now())
-		if got := s.claimed(); !got.Equal(began) {
+		if got := s.claimSent(); !got.Equal(began) {
 			t.Errorf("the answered claim, read once more, was sent at %v, want %v", got, began)
 		}
 		s.observe(Entry{Offset: 7, Key: claimKey, Value: s.self.record().Value}, time.Now())
-		if got := s.claimed(); !got.IsZero() {
+		if got := s.claimSent(); !got.IsZero() {
 			t.Errorf("a claim that had no answer was sent at %v", got)
 		}
 	})
--- a/workload/service/places_test.go
+++ b/workload/service/worker_list_test.go
@@ -16,7 +16,7 @@
 // listPlanner returns a planner that knows some workers, and their entries.
 func listPlanner(workers int) (*planner, []Entry) {
 	s := New(Settings{Instance: "a"}, &memory{}, poolDecoder{}, nil, events.New(io.Discard, events.Fields{}, nil), telemetry.New())
-	p := &planner{s: s, core: control.New(control.Bounds{}, 1, time.Now()), list: map[string]control.Listing{}, bad: map[string]string{}, changed: map[string]bool{}}
+	p := &planner{s: s, core: control.New(control.Bounds{}, 1, time.Now()), listings: map[string]control.Listing{}, unreadable: map[string]string{}, changedListings: map[string]bool{}}
 	var entries []Entry
 	for i := range workers {
 		l := control.Listing{ID: fmt.Sprintf("i-%04d", i), Service: "pool", Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)}
@@ -26,8 +26,8 @@
 		}
 		entries = append(entries, Entry{Key: l.ID, Value: value})
 	}
-	p.listAll(entries)
-	p.takePlaces()
+	p.applyList(entries)
+	p.syncWorkers()
 	p.core.Notes()
 	return p, entries
 }
@@ -49,7 +49,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.listAll(entries)
+		p.applyList(entries)
 	}()
 	for reading := true; reading; {
 		select {
@@ -58,7 +58,7 @@
 		default:
 		}
 		p.mu.Lock()
-		p.takePlaces()
+		p.syncWorkers()
 		p.mu.Unlock()
 	}
 	if n := unlisted(p); n > 0 {
@@ -72,13 +72,13 @@
 	anew := slices.Clone(entries)
 	anew[1].Value = []byte("{")
 	for range 2 {
-		p.listAll(anew)
-		p.takePlaces()
+		p.applyList(anew)
+		p.syncWorkers()
 	}
 	if n := unlisted(p); n > 0 {
 		t.Errorf("%d workers were unlisted", n)
 	}
-	if known := p.list[entries[1].Key]; !known.Unreadable || known.Address == "" {
+	if known := p.listings[entries[1].Key]; !known.Unreadable || known.Address == "" {
 		t.Errorf("the worker is known as %+v", known)
 	}
 }
