--- a/workload/service/acceptances.go
+++ b/workload/service/acceptances.go
@@ -12,23 +12,25 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// acceptances are the topics of acceptances and cancellations. A partition of the log
-// takes its appends one at a time, so that a log that is much slower than usual takes few a
-// second in each, and submissions wait in line until long after. So jobs are spread over several topics by their id, which also tells where to look for
-// one that is not known.
+// acceptances are the topics that hold acceptances and cancellations of jobs. A partition of
+// the log handles one append at a time: when the log is much slower than usual, each partition
+// completes only a few appends a second and submissions queue up for a long time. Jobs are
+// therefore distributed over several topics by a hash of their ID, which also determines the
+// topics to search for an unknown job.
 //
-// Each job has a home topic, and the next one takes its records where that fails or is
-// slow: a log may be down in part. The records are idempotent, so that one may stand in
-// both.
+// Each job has a home topic. The topic after it takes the records when an append to the home
+// topic fails or is slow, since the log may be partly unavailable. The records are idempotent,
+// so the same record may be in both topics.
 type acceptances struct {
-	// homes is the number of topics that are homes; there are two topics at the least.
+	// homeTopics is the number of topics that serve as home topics. There are always at least
+	// two topics.
 	homeTopics int
 	topics     []*follower
 	committers []*committer
 }
 
-func newAcceptances(homes int, log Log, follow func(Topic) *follower) *acceptances {
-	a := &acceptances{homeTopics: min(max(1, homes), MostAcceptTopics)}
+func newAcceptances(homeTopics int, log Log, follow func(Topic) *follower) *acceptances {
+	a := &acceptances{homeTopics: min(max(1, homeTopics), MostAcceptTopics)}
 	n := max(2, a.homeTopics)
 	for i := range n {
 		a.topics = append(a.topics, follow(AcceptTopic(i)))
@@ -39,25 +41,25 @@
 	return a
 }
 
-// isAcceptTopic tells whether a topic has acceptances.
+// isAcceptTopic reports whether a topic holds acceptances.
 func isAcceptTopic(topic Topic) bool {
 	return topic == SpareJobs || strings.HasPrefix(string(topic), string(Jobs))
 }
 
-// homeOf is the number of a job's home topic.
+// homeIndex returns the index of a job's home topic.
 func (a *acceptances) homeIndex(id workload.JobID) int {
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(id))
-	return int(h.Sum32() % uint32(a.homeTopics))
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(id))
+	return int(hash.Sum32() % uint32(a.homeTopics))
 }
 
-// of returns the two topics that may have a job's records.
+// topicsOf returns the two topics that may hold a job's records.
 func (a *acceptances) topicsOf(id workload.JobID) []*follower {
 	home := a.homeIndex(id)
 	return []*follower{a.topics[home], a.topics[(home+1)%len(a.topics)]}
 }
 
-// run writes what is added, until ctx ends.
+// run writes the added records until ctx ends.
 func (a *acceptances) run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, c := range a.committers {
@@ -71,7 +73,7 @@
 	return a.committers[a.homeIndex(id)].add(ctx, record)
 }
 
-// look reads the topics that may have a job's records to their end.
+// catchUp reads the topics that may hold a job's records to their end.
 func (a *acceptances) catchUp(ctx context.Context, id workload.JobID) error {
 	for _, f := range a.topicsOf(id) {
 		if err := f.catchUp(ctx); err != nil {
@@ -93,12 +95,12 @@
 
 func (a *acceptances) maxAge(now time.Time) time.Duration { return slices.Max(a.ages(now)) }
 
-// upToDate tells whether all topics are followed and were read to their end.
+// upToDate reports whether all topics are being followed and have been read to their end.
 func (a *acceptances) upToDate() bool {
 	return !slices.ContainsFunc(a.topics, func(f *follower) bool { return !f.upToDate() })
 }
 
-// places are the offsets up to which the topics were read.
+// offsets returns the offset up to which each topic has been read.
 func (a *acceptances) offsets() []int64 {
 	out := make([]int64, len(a.topics))
 	for i, f := range a.topics {
@@ -107,15 +109,15 @@
 	return out
 }
 
-// cover notes that what stands before the offsets is known from elsewhere.
+// skipTo records that everything before the offsets is known from another topic.
 func (a *acceptances) skipTo(offsets []int64) {
 	for i := range min(len(offsets), len(a.topics)) {
 		a.topics[i].skipTo(offsets[i])
 	}
 }
 
-// mayHave sorts records of jobs by the topics that may have them: the home of each,
-// and the next one if anything was ever written there.
+// groupByTopic groups records of jobs by the topics that may hold them: the home topic of each
+// job, and the next topic if anything was ever written there.
 func (a *acceptances) groupByTopic(records []control.Record) map[Topic][]control.Record {
 	out := map[Topic][]control.Record{}
 	for _, r := range records {
--- a/workload/service/adaptive_timeout.go
+++ b/workload/service/adaptive_timeout.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// AnswerTimes learns how long workers take to answer orders, so that an order
-// that will have no answer is repeated soon, and one that is only slow is not.
+// AnswerTimes derives a timeout from the mean response time, so that an order whose answer was
+// lost is repeated soon and one that is only slow is not.
 type AnswerTimes struct {
-	// Most is the longest patience; 0 is that with workers.
+	// Most is the maximum timeout; 0 selects the default, which is meant for workers.
 	Most time.Duration
 
 	mu   sync.Mutex
@@ -16,29 +16,28 @@
 }
 
 const (
-	// answerFactor is how many times the mean an answer may take.
+	// timeoutFactor is the multiple of the mean response time that a call may take.
 	timeoutFactor     = 10
 	minTimeout        = 200 * time.Millisecond
 	defaultMaxTimeout = 600 * time.Millisecond
-	// answerWeight is the share of one more answer in the mean.
+	// meanWeight is the weight of a new sample in the moving average.
 	meanWeight = 0.1
 )
 
-// Observe takes one order's time; an order without an answer counts with the
-// time that it was given.
+// Observe records the duration of one call. A call without an answer counts with its timeout.
 func (a *AnswerTimes) Observe(took time.Duration) {
 	a.mu.Lock()
 	a.mean += time.Duration(meanWeight * float64(took-a.mean))
 	a.mu.Unlock()
 }
 
-// Patience is how long to wait for an answer.
+// Patience returns the time to wait for an answer.
 func (a *AnswerTimes) Patience() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	most := a.Most
-	if most == 0 {
-		most = defaultMaxTimeout
+	limit := a.Most
+	if limit == 0 {
+		limit = defaultMaxTimeout
 	}
-	return min(most, max(minTimeout, timeoutFactor*a.mean))
+	return min(limit, max(minTimeout, timeoutFactor*a.mean))
 }
--- a/workload/service/broadcast.go
+++ b/workload/service/broadcast.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// pulse wakes all that wait for it at once. The nil pulse never beats.
+// broadcast wakes all waiting goroutines at once. On a nil broadcast, notifyAll does nothing
+// and wait sleeps for the whole time.
 type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -14,26 +15,26 @@
 
 func newBroadcast() *broadcast { return &broadcast{next: make(chan struct{})} }
 
-func (p *broadcast) notifyAll() {
-	if p == nil {
+func (b *broadcast) notifyAll() {
+	if b == nil {
 		return
 	}
-	p.mu.Lock()
-	close(p.next)
-	p.next = make(chan struct{})
-	p.mu.Unlock()
+	b.mu.Lock()
+	close(b.next)
+	b.next = make(chan struct{})
+	b.mu.Unlock()
 }
 
-// wait returns at the next beat, or after a time.
-func (p *broadcast) wait(ctx context.Context, most time.Duration) {
-	if p == nil {
-		sleep(ctx, most)
+// wait returns at the next notification or after limit, whichever comes first.
+func (b *broadcast) wait(ctx context.Context, limit time.Duration) {
+	if b == nil {
+		sleep(ctx, limit)
 		return
 	}
-	p.mu.Lock()
-	next := p.next
-	p.mu.Unlock()
-	timer := time.NewTimer(most)
+	b.mu.Lock()
+	next := b.next
+	b.mu.Unlock()
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/workload/service/committer.go
+++ b/workload/service/committer.go
@@ -10,20 +10,20 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// committer gathers records that come at about the same time into one append.
+// committer batches records that arrive at about the same time into one append.
 type committer struct {
 	log Log
-	// home is the topic that is written to, other the one that takes its place where
-	// that fails or is slow.
+	// home is the topic that is normally written; other replaces it when an append there fails
+	// or is slow.
 	home, other Topic
 	queue       chan *pendingRecord
-	// times learns how long the log takes, so that the other topic is tried in
-	// time where one is down.
+	// timeout tracks how long appends take, so that the other topic is tried in time when home
+	// is down.
 	timeout AnswerTimes
-	// spare tells that the spare topic served last; it is tried first then.
+	// otherFirst is set when the other topic accepted the last append; it is then tried first.
 	otherFirst atomic.Bool
-	// flight bounds the appends under way, so that a slow one does not hold up
-	// those behind it.
+	// inFlight limits the number of concurrent appends. More than one is allowed so that a slow
+	// append does not delay later ones.
 	inFlight chan struct{}
 }
 
@@ -45,17 +45,17 @@
 	return &committer{log: log, home: home, other: other, timeout: AnswerTimes{Most: commitAttemptTimeout}, queue: make(chan *pendingRecord, 1024), inFlight: make(chan struct{}, maxAppendsInFlight)}
 }
 
-// add writes a record and returns once it is in the log, or with ErrNotDone if
-// it certainly is not and will not be, or with ErrUnknown.
+// add writes a record. It returns nil once the record is in the log, ErrNotDone if the record
+// was certainly not written and never will be, and ErrUnknown otherwise.
 func (c *committer) add(ctx context.Context, record control.Record) error {
-	one := &pendingRecord{record: record, ctx: ctx, done: make(chan error, 1)}
+	pending := &pendingRecord{record: record, ctx: ctx, done: make(chan error, 1)}
 	select {
-	case c.queue <- one:
+	case c.queue <- pending:
 	default:
-		return errors.Mark(errors.New("too many submissions wait for the log"), ErrNotDone)
+		return errors.Mark(errors.New("too many submissions are waiting for the log"), ErrNotDone)
 	}
 	select {
-	case err := <-one.done:
+	case err := <-pending.done:
 		return err
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), ErrUnknown)
@@ -91,13 +91,13 @@
 	return batch
 }
 
-// write repeats an append until it succeeds. Records are idempotent, so that a
-// repetition of one that had no answer does no harm. Only a series of refusals
-// that all say so proves that nothing was done.
+// write repeats an append until it succeeds. Records are idempotent, so repeating an append
+// that was not answered does no harm. Only when every attempt was refused with ErrNotDone is it
+// certain that nothing was written.
 func (c *committer) write(ctx context.Context, batch []*pendingRecord) {
 	records := make([]control.Record, len(batch))
-	for i, one := range batch {
-		records[i] = one.record
+	for i, pending := range batch {
+		records[i] = pending.record
 	}
 	unknown := false
 	for try := 1; ; try++ {
@@ -112,26 +112,27 @@
 			return
 		}
 		if ctx.Err() != nil || allAbandoned(batch) {
-			finishAll(batch, errors.Mark(errors.Newf("the append was given up: %v", err), ErrUnknown))
+			finishAll(batch, errors.Mark(errors.Newf("the append was abandoned: %v", err), ErrUnknown))
 			return
 		}
 		sleep(ctx, commitRetryPause*time.Duration(min(try, 5)))
 	}
 }
 
-// either appends to the topic that served last, and to the other one too if that
-// fails or takes long. It fails with ErrNotDone only if both did nothing.
+// appendEither appends to the topic that accepted the last append, and also to the other topic
+// if the first append fails or is slow. It returns ErrNotDone only if neither topic was
+// written.
 func (c *committer) appendEither(ctx context.Context, records []control.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, commitAttemptTimeout)
 	defer cancel()
-	spare := c.otherFirst.Load()
+	otherFirst := c.otherFirst.Load()
 	results := make(chan appendResult, 2)
-	go c.append(ctx, spare, records, results)
+	go c.append(ctx, otherFirst, records, results)
 	slow := time.NewTimer(c.timeout.Patience())
 	defer slow.Stop()
-	silent := make(chan bool, 1)
+	unreachable := make(chan bool, 1)
 	var failed error
-	for running, both := 1, false; running > 0; {
+	for running, bothStarted := 1, false; running > 0; {
 		select {
 		case a := <-results:
 			running--
@@ -143,61 +144,61 @@
 				failed = a.err
 			}
 		case <-slow.C:
-			go c.probe(ctx, c.topic(spare), silent)
+			go c.probe(ctx, c.topic(otherFirst), unreachable)
 			continue
-		case is := <-silent:
-			if !is {
+		case noReads := <-unreachable:
+			if !noReads {
 				continue
 			}
 		}
-		if !both {
-			both = true
+		if !bothStarted {
+			bothStarted = true
 			running++
-			go c.append(ctx, !spare, records, results)
+			go c.append(ctx, !otherFirst, records, results)
 		}
 	}
 	return failed
 }
 
-// ask tells whether a topic's part of the log answers no reads. One that does has the
-// append in its line, or its answer was lost; to have it made in the other topic as well
-// would lengthen the line there. While the log was eighty times slower than usual, both
-// topics took each acceptance, and within a second none was answered in time.
-func (c *committer) probe(ctx context.Context, topic Topic, silent chan<- bool) {
+// probe reports on unreachable whether reads from a topic's part of the log fail. If reads
+// succeed, the append is still queued or its answer was lost, and appending to the other topic
+// as well would only lengthen the queue there: with a log eighty times slower than usual, both
+// topics received every acceptance, and within a second none was answered in time.
+func (c *committer) probe(ctx context.Context, topic Topic, unreachable chan<- bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	silent <- c.log.Probe(ctx, topic) != nil
+	unreachable <- c.log.Probe(ctx, topic) != nil
 }
 
-// askTime is how long an answer to a read is waited for: as long as a log that is a
-// hundred times slower than usual takes.
+// probeTimeout limits a probe to what a read takes when the log is a hundred times slower than
+// usual.
 const probeTimeout = 400 * time.Millisecond
 
-func (c *committer) topic(spare bool) Topic {
-	if spare {
+func (c *committer) topic(other bool) Topic {
+	if other {
 		return c.other
 	}
 	return c.home
 }
 
-// attempt is what came of one append.
+// appendResult is the result of one append.
 type appendResult struct {
 	toOther bool
 	err     error
 }
 
-func (c *committer) append(ctx context.Context, spare bool, records []control.Record, results chan<- appendResult) {
+func (c *committer) append(ctx context.Context, toOther bool, records []control.Record, results chan<- appendResult) {
 	began := time.Now()
-	_, err := c.log.Append(ctx, c.topic(spare), records, nil)
+	_, err := c.log.Append(ctx, c.topic(toOther), records, nil)
 	if err == nil {
 		c.timeout.Observe(time.Since(began))
 	}
-	results <- appendResult{spare, err}
+	results <- appendResult{toOther, err}
 }
 
 func allAbandoned(batch []*pendingRecord) bool {
-	for _, one := range batch {
-		if one.ctx.Err() == nil {
+	for _, pending := range batch {
+		if pending.ctx.Err() == nil {
 			return false
 		}
 	}
@@ -205,7 +206,7 @@
 }
 
 func finishAll(batch []*pendingRecord, err error) {
-	for _, one := range batch {
-		one.done <- err
+	for _, pending := range batch {
+		pending.done <- err
 	}
 }
--- a/workload/service/declarations.go
+++ b/workload/service/declarations.go
@@ -6,11 +6,11 @@
 	"github.com/cobalttide/cobalttide/events"
 )
 
-// How an instance follows what operators declare: the configuration, evacuations, waves.
+// The declarations of operators: the configuration, evacuations and maintenance waves.
 
-// declareAll takes the newest of all declarations. Evacuations first: an instance with
-// a configuration may plan, and must know by then where nothing may begin. Those that
-// are not among the newest were taken back.
+// applyDeclarations takes over the newest record of each declaration. Evacuations come first:
+// an instance that has a configuration may start to plan and must know by then where nothing
+// may start. Evacuations that are not among the records have been withdrawn.
 func (s *Service) applyDeclarations(entries []Entry) {
 	var centres []string
 	for _, e := range entries {
@@ -53,9 +53,9 @@
 	}
 }
 
-// declaredPeriod is the least time between two reads of the declarations. A planner
-// reads on at once: what an operator has evacuated gets nothing new after some tens of
-// milliseconds then, where it would take up to a second.
+// declarationsInterval is the minimum time between two reads of the declarations. A planner
+// reads without a pause, so that no work is started in an evacuated data centre after some tens
+// of milliseconds, instead of up to a second.
 func (s *Service) declarationsInterval() time.Duration {
 	if s.planning.Load() {
 		return 0
@@ -63,9 +63,10 @@
 	return statesReadInterval
 }
 
-// declaredWait is how long a read of the declarations waits for news. They come seldom, and
-// nothing but such reads calls the log for them: one that waits for half of the age at which
-// nothing is answered any more leaves the other half to find a connection that went silent.
+// declarationsWait is how long a read of the declarations waits for new records. Declarations
+// are rare, and only these reads check the connection to their part of the log. Waiting for
+// half of the age at which this instance stops answering leaves the other half to detect a dead
+// connection.
 func (s *Service) declarationsWait() time.Duration {
 	if s.planning.Load() {
 		return plannerWait
--- a/workload/service/directory.go
+++ b/workload/service/directory.go
@@ -8,12 +8,12 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// Queue is a declared queue and where callers reach it.
+// Queue is a declared queue with the host and path prefix that callers use.
 type Queue struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Anonymous queues need no key.
+	// Anonymous queues need no API key.
 	Anonymous bool
 	Terms     workload.Terms
 }
@@ -22,16 +22,16 @@
 type Directory struct {
 	Version int64
 	Queues  []Queue
-	// Keys maps each key to its client account.
+	// Keys maps each API key to its client account.
 	Keys       map[string]domain.AccountID
 	Guaranteed map[domain.AccountID]int64
-	// BodyBytes bounds a submission; 0 is no bound.
+	// BodyBytes is the maximum size of a submission; 0 means no limit.
 	BodyBytes int64
-	// Problems are the parts that could not be understood and were left out.
+	// Problems lists the parts that could not be decoded and were left out.
 	Problems []*EntryError
 }
 
-// Find returns the queue with the longest prefix of the path on the host.
+// Find returns the queue on the host that has the longest prefix of the path.
 func (d *Directory) Find(host, path string) (Queue, bool) {
 	best := -1
 	for i := range d.Queues {
@@ -49,13 +49,13 @@
 	return d.Queues[best], true
 }
 
-// Account returns the account of a key.
+// Account returns the client account of an API key.
 func (d *Directory) Account(key string) (domain.AccountID, bool) {
 	account, ok := d.Keys[key]
 	return account, ok
 }
 
-// Configuration is what a planner needs of the directory.
+// Configuration returns the parts of the directory that a planner needs.
 func (d *Directory) Configuration() control.Configuration {
 	out := control.Configuration{Version: d.Version, Queues: map[string]workload.Terms{}, Guaranteed: d.Guaranteed}
 	for _, q := range d.Queues {
--- a/workload/service/election.go
+++ b/workload/service/election.go
@@ -7,16 +7,16 @@
 	"github.com/cobalttide/cobalttide/events"
 )
 
-// How an instance comes to the planner's role: when it may claim it, and when it may begin.
+// Election of the planner: when an instance may claim the role and when it may start planning.
 
 const (
-	// claimTimeout bounds a claim; one without an answer may be carried out later.
+	// claimTimeout limits a claim. A claim without an answer may still be carried out later.
 	claimTimeout = time.Second
-	// electEvery is how often it is looked whether the role can be had.
+	// electionInterval is how often an instance checks whether it can take the planner's role.
 	electionInterval = 50 * time.Millisecond
 )
 
-// elect claims the planner's role when it is due, and plays it.
+// elect claims the planner's role when a claim is due and then plans, until ctx ends.
 func (s *Service) elect(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, electionInterval)
@@ -24,29 +24,32 @@
 	}
 }
 
-// tryRole plays the planner's role if this instance has it, or can claim it now.
+// tryPlanning plans if this instance holds the planner's role or can claim it now.
 func (s *Service) tryPlanning(ctx context.Context) {
 	s.roleMu.Lock()
 	defer s.roleMu.Unlock()
 	if s.leaving.Load() {
 		return
 	}
-	token, mine := s.succession.heldToken()
-	if !mine && s.canClaim() {
-		token, mine = s.claim(ctx)
+	token, held := s.succession.heldToken()
+	if !held && s.canClaim() {
+		token, held = s.claim(ctx)
 	}
-	// A claim that had no answer may be carried out, and be read, at any later time.
-	if mine && s.caughtUpTo(token) {
+	// A claim without an answer may be carried out and read at any later time, so the token
+	// alone does not prove that everything before the claim has been read.
+	if held && s.caughtUpTo(token) {
 		s.runPlanner(ctx, token)
 	}
 }
 
-// current tells whether all that a planner takes over is followed and was read to its end.
+// caughtUp reports whether everything that a planner takes over is being followed and has been
+// read to its end.
 func (s *Service) caughtUp() bool {
 	return s.plans.connected() && s.plans.upToDate() && s.acceptances.upToDate() && s.directory.Load() != nil && s.book.Complete()
 }
 
-// readFor tells whether all that was written before the claim with a token is known here.
+// caughtUpTo reports whether everything that was written before the claim with the token has
+// been read.
 func (s *Service) caughtUpTo(token int64) bool {
 	return s.caughtUp() && s.plans.offset() >= token-1
 }
@@ -55,12 +58,12 @@
 	return s.succession.isClaimDue(s.clock.Now()) && s.caughtUp()
 }
 
-// claim claims the planner's role and returns the token; ok is false where the claim failed
-// or had no answer.
+// claim claims the planner's role and returns the token. ok is false if the claim failed or was
+// not answered.
 func (s *Service) claim(ctx context.Context) (token int64, ok bool) {
-	attempt, cancel := context.WithTimeout(ctx, claimTimeout)
+	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	token, err := s.succession.claim(attempt, s.log, s.plans.offset())
+	token, err := s.succession.claim(claimCtx, s.log, s.plans.offset())
 	if err != nil {
 		s.events.Info(events.ClaimFailed, events.Fields{"cause": err.Error()})
 		s.succession.claimFailed(s.clock.Now())
--- a/workload/service/entry_error.go
+++ b/workload/service/entry_error.go
@@ -2,25 +2,25 @@
 
 import "fmt"
 
-// Fault is what is wrong with an entry that others have written; a stable code.
+// Fault is a stable code for what is wrong with an entry that another system has written.
 type Fault string
 
 // The faults of entries.
 const (
-	// FaultSyntax: the bytes can't be read at all.
+	// FaultSyntax: the bytes can't be parsed.
 	FaultSyntax Fault = "syntax"
 	// FaultMissing: a field is missing, null or empty.
 	FaultMissing Fault = "missing"
-	// FaultType: a field is of another type.
+	// FaultType: a field has another type.
 	FaultType Fault = "type"
-	// FaultRange: a figure is negative, or larger than anything that it may stand for.
+	// FaultRange: a number is negative or implausibly large.
 	FaultRange Fault = "range"
-	// FaultUnknown: a word that nobody has named, a state for one.
+	// FaultUnknown: a value that is not defined, such as an undefined state.
 	FaultUnknown Fault = "unknown"
 )
 
-// EntryError says why an entry, or a part of one, is not used. What can be understood
-// of the others holds.
+// EntryError reports why an entry, or a part of one, is not used. The parts that could be
+// decoded are used.
 type EntryError struct {
 	Fault Fault
 	// Field is the path of the field; "" is the whole entry.
@@ -31,7 +31,7 @@
 // Error implements error.
 func (e *EntryError) Error() string {
 	if e.Field == "" {
-		return fmt.Sprintf("the entry %s: write it as the platform's pages have it", e.Problem)
+		return fmt.Sprintf("the entry %s: use the format that the platform documents", e.Problem)
 	}
-	return fmt.Sprintf("%s %s: write it as the platform's pages have it", e.Field, e.Problem)
+	return fmt.Sprintf("%s %s: use the format that the platform documents", e.Field, e.Problem)
 }
--- a/workload/service/evacuations.go
+++ b/workload/service/evacuations.go
@@ -6,8 +6,9 @@
 	"sync"
 )
 
-// evacuated keeps the data centres that operators have asked to get nothing new. It is
-// safe for concurrent use: the reader of declarations writes it, the planner reads it.
+// evacuations holds the data centres that operators have asked to evacuate: no new work is
+// started there. It is safe for concurrent use: the follower of the declarations writes it and
+// the planner reads it.
 type evacuations struct {
 	mu      sync.Mutex
 	centres map[string]bool
@@ -15,30 +16,30 @@
 
 func newEvacuations() *evacuations { return &evacuations{centres: map[string]bool{}} }
 
-// replace takes all requests that stand.
-func (v *evacuations) replace(centres []string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.centres = map[string]bool{}
+// replace replaces all requests.
+func (e *evacuations) replace(centres []string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.centres = map[string]bool{}
 	for _, name := range centres {
-		v.centres[name] = true
+		e.centres[name] = true
 	}
 }
 
-// set takes one request, or takes it back.
-func (v *evacuations) set(centre string, asked bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if asked {
-		v.centres[centre] = true
+// set adds or withdraws the request for a data centre.
+func (e *evacuations) set(centre string, requested bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if requested {
+		e.centres[centre] = true
 		return
 	}
-	delete(v.centres, centre)
+	delete(e.centres, centre)
 }
 
-// list returns the data centres in order.
-func (v *evacuations) list() []string {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return slices.Sorted(maps.Keys(v.centres))
+// list returns the data centres in alphabetical order.
+func (e *evacuations) list() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.Sorted(maps.Keys(e.centres))
 }
--- a/workload/service/follower.go
+++ b/workload/service/follower.go
@@ -11,98 +11,99 @@
 	"github.com/cobalttide/cobalttide/internal/clock"
 )
 
-// follower reads one topic: first the newest record of each key, then what
-// comes after. It goes back to the first when the log has forgotten its place.
+// follower reads one topic: first a snapshot of the newest record of each key, then the records
+// after it. It reads a new snapshot when the log no longer keeps the records at its offset.
 type follower struct {
 	topic Topic
 	log   Log
-	// wait bounds one read that waits for news.
+	// wait returns how long a read waits for new records.
 	wait func() time.Duration
-	// pause returns the rest after a read that brought something.
+	// pause returns the pause after a read that returned records.
 	pause func() time.Duration
-	// period returns the least time from one read to the next, whatever they bring; nil
-	// is none.
+	// interval returns the minimum time between the starts of two reads, whatever they return;
+	// nil means none.
 	interval func() time.Duration
-	// snapshot takes the newest record of each key; entries then follow one by
-	// one through record.
+	// applyAll takes the newest record of each key. Later records are passed to applyOne one by
+	// one.
 	applyAll func(entries []Entry)
 	applyOne func(e Entry)
-	// paged follows the records of each page; nil is nothing.
+	// afterPage is called after the records of a page were applied; nil is allowed.
 	afterPage func()
-	// lost and regained report the state of the connection.
+	// connectionChanged is called when the connection to the topic is lost or restored.
 	connectionChanged func(topic Topic, ok bool, cause string)
 
-	// looked is when the last look began; looking guards it.
+	// lastCatchUp is when the last catch-up began; catchUpMu guards it.
 	catchUpMu   sync.Mutex
 	lastCatchUp time.Time
 
-	// retry is the pause after a read that failed, unless the log served another
-	// topic meanwhile, which back tells.
+	// retry is the pause after a failed read. It ends early when logRecovered signals that the
+	// log has served another topic.
 	retry        time.Duration
 	logRecovered *broadcast
 	clock        clock.Clock
-	// newest is the first read as far as it has come; only run uses it.
+	// snapshot is the snapshot that run is reading; only run uses it.
 	snapshot snapshotReader
 
 	mu          sync.Mutex
 	readToEndAt time.Time
 	next        int64
 	healthy     bool
-	// follows tells that run reads the topic, caught that it has read all since it
-	// began.
+	// isFollowing is set while run reads the topic, caughtUp once it has read a whole snapshot
+	// since it started.
 	isFollowing, caughtUp bool
-	// told tells that the state of the connection was reported at all.
+	// reported is set once the state of the connection has been reported.
 	reported bool
-	// handed has the offset of the newest record of each key that was handed over.
+	// keyOffsets holds the offset of the newest applied record of each key.
 	keyOffsets map[string]int64
 }
 
 const (
 	readRetryPause = 150 * time.Millisecond
-	// restRetry is the pause of the topics that don't find out whether the log is
-	// back. While it is away every read of every instance is a call for nothing.
+	// slowReadRetryPause is the pause for topics that are not used to detect the recovery of
+	// the log. While the log is down, every read by every instance is a wasted call.
 	slowReadRetryPause = 4 * readRetryPause
-	// forgottenRest is the pause before the newest records are read again where the log has
-	// forgotten what came after them; it doubles up to forgottenMost. Each such read is of the
-	// whole topic.
+	// minSnapshotRetryPause is the pause before another snapshot is read because the log no
+	// longer keeps the records after the last one. It doubles up to maxSnapshotRetryPause,
+	// since each snapshot reads the whole topic.
 	minSnapshotRetryPause = 50 * time.Millisecond
 	maxSnapshotRetryPause = 400 * time.Millisecond
 )
 
-// run follows until ctx ends.
+// run follows the topic until ctx ends.
 func (f *follower) run(ctx context.Context) {
-	fresh, failed := true, false
-	// anew is how often in a row the place was forgotten right after the newest records were read.
-	anew := 0
+	needSnapshot, failed := true, false
+	// forgottenInRow counts the snapshots in a row after which the next read returned
+	// ErrForgotten.
+	forgottenInRow := 0
 	for ctx.Err() == nil {
 		var err error
-		rest := time.Duration(0)
+		pause := time.Duration(0)
 		began := time.Now()
 		switch {
-		case fresh:
+		case needSnapshot:
 			err = f.readSnapshot(ctx)
 		case failed:
-			// A log that is back tells at once that there is no news, not after a wait:
-			// until then nothing is accepted here.
-			rest, err = f.readNext(ctx, 0)
+			// After a failure don't wait for new records: a log that has recovered then answers
+			// at once, and until it has, nothing is accepted here.
+			pause, err = f.readNext(ctx, 0)
 		default:
-			rest, err = f.readNext(ctx, f.wait())
+			pause, err = f.readNext(ctx, f.wait())
 		}
 		failed = err != nil
 		switch {
 		case err == nil:
-			if !fresh {
-				anew = 0
+			if !needSnapshot {
+				forgottenInRow = 0
 			}
-			fresh = false
-			sleep(ctx, max(rest, f.minInterval()-time.Since(began)))
+			needSnapshot = false
+			sleep(ctx, max(pause, f.minInterval()-time.Since(began)))
 		case errors.Is(err, ErrForgotten):
-			fresh = true
-			sleep(ctx, snapshotRetryPause(anew))
-			anew++
+			needSnapshot = true
+			sleep(ctx, snapshotRetryPause(forgottenInRow))
+			forgottenInRow++
 		case errors.Is(err, ErrMalformed):
-			// The newest records are another answer: nothing is lost with this one.
-			fresh = true
+			// The next snapshot is a new answer, so nothing is lost by discarding this one.
+			needSnapshot = true
 			f.snapshot = snapshotReader{}
 			f.reportConnection(false, err.Error())
 			sleep(ctx, readRetryPause)
@@ -113,7 +114,8 @@
 	}
 }
 
-// restOfAnew is the pause before the newest records are read once more; none before the first time.
+// snapshotRetryPause returns the pause before another snapshot is read; the first one is read
+// without a pause.
 func snapshotRetryPause(times int) time.Duration {
 	if times == 0 {
 		return 0
@@ -128,32 +130,31 @@
 	return f.interval()
 }
 
-// readNewest reads the newest record of each key and hands them over once all
-// are there.
+// readSnapshot reads the newest record of each key and applies them once all are there.
 func (f *follower) readSnapshot(ctx context.Context) error {
 	if err := f.snapshot.read(ctx, f.log, f.topic, f.clock); err != nil {
 		return err
 	}
-	got := f.snapshot
+	snapshot := f.snapshot
 	f.snapshot = snapshotReader{}
-	f.applySnapshot(got)
+	f.applySnapshot(snapshot)
 	f.mu.Lock()
 	f.caughtUp = true
 	f.mu.Unlock()
 	return nil
 }
 
-// readOn reads the next page and returns how long to rest after it: not at all
-// before the topic's end.
+// readNext reads and applies the next page. It returns the pause before the next read, which is
+// 0 if the topic continues after the page.
 func (f *follower) readNext(ctx context.Context, wait time.Duration) (time.Duration, error) {
 	began := f.clock.Now()
 	page, err := f.readPage(ctx, wait)
 	if err != nil {
 		return 0, err
 	}
-	// An empty answer after a wait proves the end only at the time it was given, which was
-	// at the end of the wait: this instance may have been suspended while the answer lay
-	// there. One that brought records may have been made at any time since began.
+	// An empty answer after a wait proves that the end was reached only at the time of the
+	// answer, at the end of the wait: this instance may have been suspended before it received
+	// the answer. An answer with records may have been made at any time since began.
 	if len(page.Entries) == 0 {
 		began = earlier(f.clock.Now().Add(-transitSlack), began.Add(wait))
 	}
@@ -171,8 +172,7 @@
 	return b
 }
 
-// page reads one page from where the topic has been read to, and hands its
-// records over.
+// readPage reads and applies one page from the current offset.
 func (f *follower) readPage(ctx context.Context, wait time.Duration) (Page, error) {
 	from := f.offset()
 	page, err := f.log.Read(ctx, f.topic, from, wait)
@@ -192,43 +192,43 @@
 	return page, nil
 }
 
-// checkPage refuses a page that can't be what follows an offset: a topic never
-// ends below what was read of it, and a page below the end has a record.
+// checkPage rejects a page that can't follow the offset: the end of a topic is never before the
+// offset that has been read, and a page before the end contains at least one record.
 func checkPage(topic Topic, from int64, page Page) error {
 	if page.End < from {
-		return errors.Mark(errors.Newf("topic %s ends at %d, below %d, which was read", topic, page.End, from), ErrMalformed)
+		return errors.Mark(errors.Newf("topic %s ends at offset %d, although it was read up to %d", topic, page.End, from), ErrMalformed)
 	}
 	if page.Next == from && page.End > from {
-		return errors.Mark(errors.Newf("topic %s has no whole record at %d, below its end %d", topic, from, page.End), ErrMalformed)
+		return errors.Mark(errors.Newf("topic %s has no complete record at offset %d, before its end at %d", topic, from, page.End), ErrMalformed)
 	}
 	return nil
 }
 
-// followSlack covers the way of an answer.
+// transitSlack allows for the time that an answer is in transit.
 const transitSlack = 50 * time.Millisecond
 
-// following notes whether run reads the topic. What was read before it began is
-// no ground to decide on.
-func (f *follower) setFollowing(follows bool) {
+// setFollowing records whether run reads the topic. Decisions must not be based on what was
+// read before run started.
+func (f *follower) setFollowing(following bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.isFollowing, f.caughtUp = follows, false
+	f.isFollowing, f.caughtUp = following, false
 	f.snapshot = snapshotReader{}
-	if !follows {
+	if !following {
 		f.healthy, f.reported = false, false
 		f.keyOffsets = nil
 	}
 }
 
-// upToDate tells whether run has read the topic to its end once.
+// upToDate reports whether run has read the topic to its end once.
 func (f *follower) upToDate() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.isFollowing && f.caughtUp
 }
 
-// cover notes that what stands before an offset is known from elsewhere, so that a
-// topic that is not followed is looked at from there.
+// skipTo records that everything before the offset is known from another topic, so that a
+// catch-up on a topic that is not followed starts there.
 func (f *follower) skipTo(offset int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -237,8 +237,8 @@
 	}
 }
 
-// look reads the topic to its end at once, besides the reads of run. Callers
-// that come while one looks share the next look.
+// catchUp reads the topic to its end at once, in addition to the reads of run. Callers that
+// arrive during a catch-up share the next one.
 func (f *follower) catchUp(ctx context.Context) error {
 	asked := f.clock.Now()
 	f.catchUpMu.Lock()
@@ -250,7 +250,8 @@
 	for {
 		page, err := f.readPage(ctx, 0)
 		if errors.Is(err, ErrForgotten) || errors.Is(err, ErrMalformed) {
-			// A place that is not in the topic was never read: somebody else named it.
+			// An offset that is not in the topic was not read here but came from another topic
+			// (see skipTo).
 			return f.catchUpFromSnapshot(ctx, began)
 		}
 		if err != nil {
@@ -264,40 +265,40 @@
 	}
 }
 
-// lookAtNewest looks at a topic whose records are no longer kept one by one.
+// catchUpFromSnapshot reads a topic of which the log no longer keeps the single records.
 func (f *follower) catchUpFromSnapshot(ctx context.Context, began time.Time) error {
-	got := snapshotReader{}
-	if err := got.read(ctx, f.log, f.topic, f.clock); err != nil {
+	snapshot := snapshotReader{}
+	if err := snapshot.read(ctx, f.log, f.topic, f.clock); err != nil {
 		return err
 	}
-	f.applySnapshot(got)
+	f.applySnapshot(snapshot)
 	f.lastCatchUp = began
 	return nil
 }
 
-// takeWhole takes the newest record of each key. A key that was handed over before and is not
-// among them was dropped meanwhile, by a record that the log keeps no more.
-func (f *follower) applySnapshot(got snapshotReader) {
-	gone := f.droppedKeys(got)
-	f.applyAll(got.entries)
-	for _, key := range gone {
-		f.applyOne(Entry{Offset: got.end - 1, Key: key})
+// applySnapshot applies the newest record of each key. A key that was applied before and is
+// missing has been dropped meanwhile, by a record that the log no longer keeps.
+func (f *follower) applySnapshot(snapshot snapshotReader) {
+	dropped := f.droppedKeys(snapshot)
+	f.applyAll(snapshot.entries)
+	for _, key := range dropped {
+		f.applyOne(Entry{Offset: snapshot.end - 1, Key: key})
 	}
-	f.recordOffsets(got.entries)
-	f.advance(got.end, got.began, true)
+	f.recordOffsets(snapshot.entries)
+	f.advance(snapshot.end, snapshot.began, true)
 }
 
-// gone lists the keys that were handed over and that the log has no more.
-func (f *follower) droppedKeys(got snapshotReader) []string {
-	there := make(map[string]bool, len(got.entries))
-	for _, e := range got.entries {
-		there[e.Key] = true
+// droppedKeys returns the applied keys that are missing from a snapshot.
+func (f *follower) droppedKeys(snapshot snapshotReader) []string {
+	present := make(map[string]bool, len(snapshot.entries))
+	for _, e := range snapshot.entries {
+		present[e.Key] = true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
 	for key, offset := range f.keyOffsets {
-		if offset < got.end && !there[key] {
+		if offset < snapshot.end && !present[key] {
 			out = append(out, key)
 			delete(f.keyOffsets, key)
 		}
@@ -306,7 +307,7 @@
 	return out
 }
 
-// hand notes what was handed over.
+// recordOffsets updates keyOffsets with applied records.
 func (f *follower) recordOffsets(entries []Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -329,7 +330,7 @@
 	return f.next
 }
 
-// advance notes that the topic was read up to next, and whether that was its end
+// advance records that the topic was read up to next, and, if end is set, that this was its end
 // at the time read.
 func (f *follower) advance(next int64, read time.Time, end bool) {
 	f.mu.Lock()
@@ -341,7 +342,7 @@
 	f.reportConnection(true, "")
 }
 
-// age is how long ago the topic was read to its end.
+// age returns the time since the topic was last known to be read to its end.
 func (f *follower) age(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -361,14 +362,14 @@
 	}
 }
 
-// known tells whether the topic was ever read to its end.
+// everRead reports whether the topic was ever read to its end.
 func (f *follower) everRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.readToEndAt.IsZero()
 }
 
-// connected tells whether the last read succeeded.
+// connected reports whether the last read succeeded.
 func (f *follower) connected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/workload/service/freshness.go
+++ b/workload/service/freshness.go
@@ -9,9 +9,9 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// Configured refuses where this instance does not know the configuration in
-// force. With it alone an instance accepts jobs, whose records are idempotent:
-// one that comes back reads the configuration long before all jobs.
+// Configured returns a refusal if this instance does not know the configuration in force. A
+// current configuration is enough to accept jobs, since their records are idempotent, and a
+// restarted instance reads it long before all jobs.
 func (s *Service) Configured() error {
 	if s.directory.Load() == nil {
 		return domain.Refuse(domain.ReasonNotReady, "", "no configuration has been read yet", "come back later").After(time.Second)
@@ -25,7 +25,7 @@
 	return logUnreachable()
 }
 
-// Current refuses where this instance has not read the log for too long.
+// CheckCurrent returns a refusal if this instance has not read the log for too long.
 func (s *Service) CheckCurrent() error {
 	if err := s.Configured(); err != nil {
 		return err
@@ -37,27 +37,27 @@
 	return logUnreachable()
 }
 
-// reachedWithin is how long ago the log was read last at the most where it
-// answers: the time from one read to the next, and the way.
+// reachableWithin is the maximum time since the last successful read while the log answers: the
+// interval between reads and the time in transit.
 const reachableWithin = statesReadInterval + 2*transitSlack
 
-// reaches tells whether the log answers here. An instance that it does not answer
-// can still tell what it knows, but accepts nothing: new callers do better
-// elsewhere. Callers in a data centre that is cut off are led to others about a
-// second sooner than by the age at which nothing is answered any more; they wait
-// for three.
+// isLogReachable reports whether the log answers this instance. An instance that gets no answer
+// can still report what it has read but accepts nothing, so new callers should go elsewhere.
+// This redirects callers in a disconnected data centre about a second sooner than the age at
+// which the instance stops answering; callers wait for three seconds.
 func (s *Service) isLogReachable() bool {
 	now := s.clock.Now()
 	return min(s.states.age(now), s.acceptances.minAge(now), s.plans.age(now), s.declarations.age(now)) < reachableWithin
 }
 
 func logUnreachable() error {
-	return domain.Refuse(domain.ReasonLogUnavailable, "", "this instance is cut off from the log", "try another instance, or come back later").After(time.Second)
+	return domain.Refuse(domain.ReasonLogUnavailable, "", "this instance can't reach the log", "try another instance, or come back later").After(time.Second)
 }
 
-// recent tells whether what was read can be acted on, given the ages of several
-// topics: none is stale, or one is while the log serves another. Then a part of
-// the log is down for all, and the topic has no news that anyone was told of.
+// isRecent reports whether what was read can be acted on, given the ages of several topics:
+// either none is stale, or one is stale while the log serves another. In the second case a part
+// of the log is down for all instances, and nothing that was reported to anyone is missing from
+// the stale topic.
 func (s *Service) isRecent(ages ...time.Duration) bool {
 	oldest, youngest := slices.Max(ages), slices.Min(ages)
 	if oldest < s.settings.Stale {
@@ -66,22 +66,23 @@
 	return youngest < s.settings.Stale && oldest < s.settings.Stale+s.settings.Stretch
 }
 
-// statesAge is the age of what callers are told. A planner knows it first, for as long as
-// its writes show that it is one: one that wakes after a suspension or a freeze may have
-// been succeeded.
+// statesAge returns the age of the job states that callers are shown. A planner is the first to
+// have them, but only while its writes prove that it still is the planner: after a suspension
+// or a freeze it may have been succeeded.
 func (s *Service) statesAge(now time.Time) time.Duration {
-	if wrote := s.lastPlanWrite.Load(); s.planning.Load() && wrote != nil && !wrote.IsZero() {
-		return now.Sub(*wrote)
+	if lastWrite := s.lastPlanWrite.Load(); s.planning.Load() && lastWrite != nil && !lastWrite.IsZero() {
+		return now.Sub(*lastWrite)
 	}
 	return s.states.age(now)
 }
 
-// lookForJob reads the acceptances where the job would be to their end, so that one
-// that is not known then was not accepted before. What was read until then can't tell:
-// another instance may have accepted the job since.
+// catchUpForJob reads the topics of acceptances that may hold the job to their end, so that a
+// job that is still unknown had not been accepted before the call. What was read earlier is no
+// proof: another instance may have accepted the job since.
 func (s *Service) catchUpForJob(ctx context.Context, id workload.JobID) error {
 	if !s.states.everRead() {
-		// What has been read is a part, and says nothing of a job that is not in it.
+		// Only a part of the log has been read, which proves nothing about a job that is not in
+		// it.
 		return logUnreachable()
 	}
 	if s.acceptances.catchUp(ctx, id) != nil {
--- a/workload/service/maintenance.go
+++ b/workload/service/maintenance.go
@@ -9,16 +9,16 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// Hosts is the platform's service for what workers run on.
+// Hosts is the platform's service for the hosts that workers run on.
 type Hosts interface {
 	// List returns all hosts.
 	List(ctx context.Context) ([]control.HostListing, error)
-	// Maintain begins a host's maintenance in the name of the holder.
+	// Maintain starts a host's maintenance on behalf of the holder.
 	Maintain(ctx context.Context, holder string, order control.DutyOrder) control.DutyVerdict
 }
 
-// waves keeps the declared waves of maintenance and the planners' records of
-// them. It is safe for concurrent use.
+// maintenanceWaves holds the declared maintenance waves and the planners' records of them. It
+// is safe for concurrent use.
 type maintenanceWaves struct {
 	mu       sync.Mutex
 	declared map[int64]control.Wave
@@ -29,9 +29,9 @@
 	return &maintenanceWaves{declared: map[int64]control.Wave{}, records: map[string][]byte{}}
 }
 
-func (w *maintenanceWaves) declare(one control.Wave) {
+func (w *maintenanceWaves) declare(wave control.Wave) {
 	w.mu.Lock()
-	w.declared[one.ID] = one
+	w.declared[wave.ID] = wave
 	w.mu.Unlock()
 }
 
@@ -41,25 +41,25 @@
 	w.mu.Unlock()
 }
 
-// each calls f with each declared wave and what planners have recorded of it.
+// each calls f with each declared wave and the planners' record of it.
 func (w *maintenanceWaves) each(f func(control.Wave, []byte)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, one := range w.declared {
-		f(one, w.records[control.WaveKey(id)])
+	for id, wave := range w.declared {
+		f(wave, w.records[control.WaveKey(id)])
 	}
 }
 
 const (
 	hostsInterval = 100 * time.Millisecond
 	hostsTimeout  = 2 * time.Second
-	// dutyTimeout bounds one order; the platform may be slow.
+	// dutyTimeout limits one order; the platform may be slow.
 	dutyTimeout   = 2 * time.Second
 	reportTimeout = time.Second
 )
 
-// maintain reads the hosts, gives the orders of waves and reports their states,
-// while this instance plans.
+// runMaintenance reads the hosts, sends the orders of maintenance waves and reports the states
+// of the waves, while this instance plans.
 func (p *planner) runMaintenance(ctx context.Context) {
 	if p.s.settings.Hosts == nil {
 		return
@@ -79,27 +79,27 @@
 }
 
 func (p *planner) readHosts(ctx context.Context) {
-	asked := p.s.clock.Now()
+	requested := p.s.clock.Now()
 	p.mu.Lock()
-	wants := p.core.WantsHosts(asked)
+	wants := p.core.WantsHosts(requested)
 	p.mu.Unlock()
 	if !wants {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, hostsTimeout)
-	list, err := p.s.settings.Hosts.List(call)
+	callCtx, cancel := context.WithTimeout(ctx, hostsTimeout)
+	list, err := p.s.settings.Hosts.List(callCtx)
 	cancel()
 	p.logHostsConnection(err)
 	if err != nil {
 		return
 	}
 	p.mu.Lock()
-	p.core.Hosts(list, asked)
+	p.core.Hosts(list, requested)
 	p.mu.Unlock()
 	notify(p.wakeRound)
 }
 
-// noteHosts says when the service of hosts is lost or regained.
+// logHostsConnection logs when the service of hosts becomes unreachable or reachable again.
 func (p *planner) logHostsConnection(err error) {
 	if (err != nil) == p.hostsUnreachable {
 		return
@@ -127,8 +127,8 @@
 }
 
 func (p *planner) sendDuty(ctx context.Context, o control.DutyOrder) {
-	call, cancel := context.WithTimeout(ctx, dutyTimeout)
-	verdict := p.s.settings.Hosts.Maintain(call, p.s.settings.Instance, o)
+	callCtx, cancel := context.WithTimeout(ctx, dutyTimeout)
+	verdict := p.s.settings.Hosts.Maintain(callCtx, p.s.settings.Instance, o)
 	cancel()
 	p.mu.Lock()
 	p.core.DutyDone(o, verdict, p.s.clock.Now())
@@ -136,15 +136,15 @@
 	notify(p.wakeRound)
 }
 
-// reportWaves tells operators how far their waves are.
+// reportWaves writes the progress of maintenance waves for operators.
 func (p *planner) reportWaves(ctx context.Context) {
 	p.mu.Lock()
 	reports := p.core.WaveReports()
 	p.mu.Unlock()
 	for _, r := range reports {
 		record := p.s.decoder.WaveReport(r)
-		call, cancel := context.WithTimeout(ctx, reportTimeout)
-		_, err := p.s.log.Append(call, Reports, []control.Record{record}, nil)
+		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+		_, err := p.s.log.Append(callCtx, Reports, []control.Record{record}, nil)
 		cancel()
 		if err != nil {
 			return
--- a/workload/service/members.go
+++ b/workload/service/members.go
@@ -12,53 +12,53 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// member is what an instance says of itself.
+// member is the record that an instance writes about itself.
 type member struct {
 	Address string `json:"address"`
-	// Power orders the candidates for the planner's role; more goes first.
+	// Power orders the candidates for the planner's role; the highest comes first.
 	Power float64 `json:"power"`
-	// DataCentre is where the instance is.
+	// DataCentre is the data centre of the instance.
 	DataCentre string `json:"centre,omitempty"`
 }
 
-// members knows the other instances: where they are, so that one that the log
-// turns away can reach it through them, and how strong they are, so that a
-// strong one plans.
+// members tracks the other instances: their addresses, so that an instance that the log refuses
+// can reach it through them, and their power, so that a powerful instance plans.
 type members struct {
 	self     string
 	own      member
 	log      Log
 	follower *follower
-	// changed takes the addresses of the others and this one's place among all by
-	// power.
-	changed func(others []string, place int)
+	// changed receives the addresses of the other instances and the rank of this one among the
+	// candidates for the planner's role.
+	changed func(others []string, rank int)
 
 	mu     sync.Mutex
 	others map[string]member
-	// listed is what the log has of this instance.
+	// registered is this instance's record in the log.
 	registered member
 }
 
 const (
 	// memberWait is how long a read waits for a new member.
 	memberWait = 10 * time.Second
-	// memberPeriod is the least time between two reads: where many instances come at
-	// once, each would read each of the others by itself (147 x 147 calls).
+	// memberReadInterval is the minimum time between two reads. Without it, when many instances
+	// start together, each reads the record of every other one in a separate call (147 x 147
+	// calls).
 	memberReadInterval = 100 * time.Millisecond
 )
 
 func newMembers(s *Service) *members {
 	m := &members{self: s.settings.Instance, own: member{s.settings.Address, s.settings.Power, s.settings.DataCentre}, log: s.log, others: map[string]member{}}
-	m.changed = func(others []string, place int) {
-		s.succession.setTurn(place)
-		s.standby.setRank(place)
+	m.changed = func(others []string, rank int) {
+		s.succession.setTurn(rank)
+		s.standby.setRank(rank)
 		if s.settings.Peers != nil {
 			s.settings.Peers(others)
 		}
 	}
 	m.follower = s.follow(Members, m.applyAll, m.apply, func() time.Duration { return 0 })
-	// Each of N instances that start together reads N entries; with the order made anew at each
-	// of them that were N orders of N members for everybody.
+	// The order is updated once a page: when N instances start together, updating it at each of
+	// the N entries means sorting N members N times on every instance.
 	m.follower.afterPage = m.notifyChanged
 	m.follower.wait = func() time.Duration { return memberWait }
 	m.follower.interval = func() time.Duration { return memberReadInterval }
@@ -86,16 +86,16 @@
 	}
 }
 
-// awaitFirst waits a while for the first read: an instance that starts again with the
-// address that it had need not be written, nor read by all others.
+// awaitFirstRead waits a while for the first read: an instance that restarts with the same
+// address need not write its record again, and the others need not read it.
 func (m *members) awaitFirstRead(ctx context.Context) {
 	for until := time.Now().Add(firstReadTimeout); ctx.Err() == nil && !m.follower.everRead() && time.Now().Before(until); {
 		sleep(ctx, firstReadTimeout/20)
 	}
 }
 
-// firstMembers is how long an instance waits to read the members before it writes
-// itself in.
+// firstReadTimeout is how long an instance waits to read the members before it writes its own
+// record.
 const firstReadTimeout = time.Second
 
 func (m *members) isRegistered() bool {
@@ -125,26 +125,26 @@
 	m.others[e.Key] = other
 }
 
-// tell tells who the others are, and where this instance stands among all.
+// notifyChanged passes on the addresses of the other instances and this one's rank.
 func (m *members) notifyChanged() {
 	m.mu.Lock()
 	all := maps.Clone(m.others)
 	m.mu.Unlock()
 	all[m.self] = m.own
 	order := orderCandidates(all)
-	place := slices.Index(order, m.self)
-	m.changed(m.peers(all, order, place), place)
+	rank := slices.Index(order, m.self)
+	m.changed(m.peers(all, order, rank), rank)
 }
 
-// peers are the addresses of the others, those first that calls to the log are
-// handed to where it does not serve this instance. What a planner or a standby writes
-// and reads would be held up by a weak instance on a thin link: they turn to each other.
-// The rest take those behind them, each others, so that the strong ones are left to
-// the planner.
-func (m *members) peers(all map[string]member, order []string, place int) []string {
+// peers returns the addresses of the other instances, in the order in which calls to the log
+// are forwarded to them when the log does not serve this instance. The most powerful instances
+// forward to each other, since a weak instance on a slow link would delay what a planner or a
+// standby reads and writes. Any other instance starts with the one ranked after it, so that the
+// load is spread and the powerful ones stay free for planning.
+func (m *members) peers(all map[string]member, order []string, rank int) []string {
 	from := 0
 	if m.own.Power < all[order[0]].Power {
-		from = place + 1
+		from = rank + 1
 	}
 	var out []string
 	for i := range order {
@@ -155,9 +155,9 @@
 	return out
 }
 
-// candidates orders instances by how they come in question for the planner's role:
-// the stronger ones first, and of equals one of each data centre, then a second one
-// of each, so that those who stand by are not lost together.
+// orderCandidates sorts the instances by rank for the planner's role: by power, and among
+// equals one of each data centre, then a second one of each and so on, so that the standbys are
+// not all lost together.
 func orderCandidates(all map[string]member) []string {
 	names := slices.Sorted(maps.Keys(all))
 	type class struct {
--- a/workload/service/meter.go
+++ b/workload/service/meter.go
@@ -17,9 +17,9 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// meter counts what an instance asks of the log, by topic and by kind of record.
-// The log's bandwidth and calls are shared by all instances, and where they are used
-// up nobody is served: what grew has to be told from what did not.
+// meter counts an instance's calls to the log and their bytes, by topic and kind of record. All
+// instances share the log's bandwidth and call rate, and none is served once these are
+// exhausted; the counts show which kind of use has grown.
 type meter struct {
 	Log
 	metrics *telemetry.Metrics
@@ -28,24 +28,25 @@
 	uses map[Topic]*topicUse
 }
 
-// use is what was asked of one topic.
+// topicUse counts the use of one topic.
 type topicUse struct {
 	calls, failed int
-	// forgotten are the reads whose place the log no longer had, whole the reads of the newest
-	// records.
+	// forgotten counts the reads at offsets that the log no longer kept, newestReads the reads
+	// of the newest records.
 	forgotten, newestReads int
 	// read and written are bytes of keys and values.
 	read, written int
 }
 
-// meterEvery is how often use is written to the log of events.
+// meterInterval is how often the use is logged.
 const meterInterval = 10 * time.Second
 
 func newMeter(log Log, metrics *telemetry.Metrics) *meter {
 	return &meter{Log: log, metrics: metrics, uses: map[Topic]*topicUse{}}
 }
 
-// kinds of records by the beginning of their key; others have the name of their topic.
+// keyKinds maps key prefixes to kinds of records. Other records have the name of their topic as
+// their kind.
 var keyKinds = []struct{ prefix, kind string }{
 	{workload.AcceptedKey(""), "acceptance"},
 	{workload.CancelledKey(""), "cancellation"},
@@ -124,7 +125,7 @@
 	return page, err
 }
 
-// tell writes what was used so far, now and then, until ctx ends.
+// logPeriodically logs the use so far every meterInterval until ctx ends.
 func (m *meter) logPeriodically(ctx context.Context, log *events.Log) {
 	for ctx.Err() == nil {
 		sleep(ctx, meterInterval)
--- a/workload/service/orders.go
+++ b/workload/service/orders.go
@@ -8,26 +8,27 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// The planner's calls to workers and to the advice service: one function a
-// kind of order, each in a goroutine of its own while the call lasts.
+// The planner's calls to workers and to the advice service. Each call runs in its own
+// goroutine.
 
 const (
 	stopTimeout = 600 * time.Millisecond
-	// holdMargin is what a hold may take beyond the wait that it asks for.
+	// holdMargin is the time that a hold may take in addition to its requested wait.
 	holdMargin = 700 * time.Millisecond
-	// HoldGivenUp is the time beyond its wait after which a hold without an answer is
-	// followed by the next.
+	// HoldGivenUp is the time after the end of a hold's wait at which an unanswered hold is
+	// followed by the next one.
 	HoldGivenUp = holdMargin + control.HoldRetry
 )
 
 func (p *planner) sendStart(ctx context.Context, o control.StartOrder) {
 	if !p.canOrderNow() {
-		// It is sent again once this planner has written, as one whose sender was frozen.
+		// The order is sent again after this planner's next write, as one that was delayed by a
+		// suspension of its sender.
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, p.orderTimeout.Patience())
+	callCtx, cancel := context.WithTimeout(ctx, p.orderTimeout.Patience())
 	sent := time.Now()
-	answer := p.s.workers.Start(call, o)
+	answer := p.s.workers.Start(callCtx, o)
 	cancel()
 	p.orderTimeout.Observe(time.Since(sent))
 	p.s.metrics.Observe(telemetry.StartAnswer, time.Since(sent))
@@ -42,8 +43,8 @@
 func (p *planner) sendStop(ctx context.Context, o control.StopOrder) {
 	answer := control.Answer{Verdict: control.Unreached}
 	if p.canOrderNow() {
-		call, cancel := context.WithTimeout(ctx, stopTimeout)
-		answer = p.s.workers.Stop(call, o)
+		callCtx, cancel := context.WithTimeout(ctx, stopTimeout)
+		answer = p.s.workers.Stop(callCtx, o)
 		cancel()
 	}
 	p.mu.Lock()
@@ -53,22 +54,22 @@
 }
 
 func (p *planner) sendPace(ctx context.Context, o control.PaceOrder) {
-	call, cancel := context.WithTimeout(ctx, p.orderTimeout.Patience())
-	answer := p.s.workers.Pace(call, o)
+	callCtx, cancel := context.WithTimeout(ctx, p.orderTimeout.Patience())
+	answer := p.s.workers.Pace(callCtx, o)
 	cancel()
 	p.mu.Lock()
 	p.core.Paced(o, answer, p.s.clock.Now())
 	p.mu.Unlock()
 }
 
-// adviceMargin is what a call for advice may take beyond its own time: calls
-// of other instances may be before it in the service's line.
+// adviceMargin is the time that a call for advice may take in addition to its own time: calls
+// of other instances may be queued before it at the service.
 const adviceMargin = time.Second
 
 func (p *planner) requestAdvice(ctx context.Context, o control.AdviceOrder) {
-	call, cancel := context.WithTimeout(ctx, o.Takes+adviceMargin)
+	callCtx, cancel := context.WithTimeout(ctx, o.Takes+adviceMargin)
 	sent := p.s.clock.Now()
-	answer := p.s.workers.Advise(call, o)
+	answer := p.s.workers.Advise(callCtx, o)
 	cancel()
 	p.s.metrics.Observe(telemetry.AdviceAnswer, p.s.clock.Since(sent))
 	p.mu.Lock()
@@ -77,15 +78,15 @@
 	p.wakeAll()
 }
 
-// hold keeps one worker's lease and takes its news, call after call, while
-// there is something to hold and no pause between.
+// renewLease keeps one worker's lease alive and receives its reports, in consecutive calls
+// without a pause, while there is a lease to renew.
 func (p *planner) renewLease(ctx context.Context, o control.HoldOrder) {
 	for again := true; again && ctx.Err() == nil; {
 		sent := p.s.clock.Now()
 		answer := control.HoldAnswer{Verdict: control.Unreached}
 		if p.canOrderNow() {
-			call, cancel := context.WithTimeout(ctx, o.Wait+holdMargin)
-			answer = p.s.workers.Hold(call, o)
+			callCtx, cancel := context.WithTimeout(ctx, o.Wait+holdMargin)
+			answer = p.s.workers.Hold(callCtx, o)
 			cancel()
 		}
 		o, again = p.handleHoldAnswer(o, answer, sent)
@@ -95,7 +96,7 @@
 	}
 }
 
-// held takes an answer and returns the worker's next hold, if it is due now.
+// handleHoldAnswer processes an answer and returns the worker's next hold, if it is due now.
 func (p *planner) handleHoldAnswer(o control.HoldOrder, answer control.HoldAnswer, sent time.Time) (control.HoldOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/workload/service/planner.go
+++ b/workload/service/planner.go
@@ -13,34 +13,34 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// Workers carries orders out.
+// Workers sends orders to workers.
 type Workers interface {
 	Start(ctx context.Context, order control.StartOrder) control.Answer
 	Stop(ctx context.Context, order control.StopOrder) control.Answer
 	Hold(ctx context.Context, order control.HoldOrder) control.HoldAnswer
 	Pace(ctx context.Context, order control.PaceOrder) control.Answer
-	// Advise asks the service that knows a queue's policy.
+	// Advise calls the service that implements a queue's policy.
 	Advise(ctx context.Context, order control.AdviceOrder) control.AdviceAnswer
 }
 
-// planner drives a core while this instance holds the claim.
+// planner drives a control.Core while this instance holds the claim.
 type planner struct {
 	s      *Service
 	token  int64
 	writer Writer
-	// decided is how long the last decision took.
+	// decisionTime is how long the last decision took.
 	decisionTime time.Duration
 	decisionEnd  time.Time
 	stats        roundStats
-	// forgot is when jobs were last looked through for ones to forget.
+	// lastDrop is when the planner last checked for expired jobs.
 	lastDrop time.Time
-	// reduced is when jobs were last reduced.
+	// lastReduce is when records of ended jobs were last reduced.
 	lastReduce time.Time
-	// reducing tells that this is under way.
+	// reducing is set while records are being reduced.
 	reducing atomic.Bool
-	// wake asks for a round, due for a look at what is due.
+	// wakeRound triggers a round, wakeOrders the sending of orders that are due.
 	wakeRound, wakeOrders chan struct{}
-	// stated is signalled when there is something to state.
+	// statesChanged is signalled when there are job states to publish.
 	statesChanged chan struct{}
 	goroutines    sync.WaitGroup
 
@@ -48,24 +48,28 @@
 
 	mu   sync.Mutex
 	core *control.Core
-	// written is when the last append that succeeded was sent.
+	// lastWrite is when the last successful append was sent.
 	lastWrite     time.Time
 	listRead      bool
 	configVersion int64
 	listings      map[string]control.Listing
-	// bad holds what is wrong with entries of the list, for each that was noted.
+	// unreadable holds the last logged problem of each entry of the worker list that can't be
+	// decoded.
 	unreadable map[string]string
-	// fresh tells that the whole list is to be taken over, changed which entries are.
+	// listReplaced is set when the whole list is to be passed to the core; changedListings
+	// holds the workers whose entries have changed.
 	listReplaced    bool
 	changedListings map[string]bool
-	// interrupted tells that the list was not followed without a gap since it was taken over last.
+	// listInterrupted is set when the list was not followed without a gap since it was last
+	// passed to the core.
 	listInterrupted bool
 	listFollower    *follower
-	// dropped are to be written among the states.
+	// droppedStates are records, to be written to the states, that drop the states of expired
+	// jobs.
 	droppedStates []control.Record
-	// resigned tells that the role is being given up: no order goes out any more.
+	// resigned is set while the role is being given up: no more orders are sent.
 	resigned bool
-	// hostsLost tells that the service of hosts did not answer last.
+	// hostsUnreachable is set when the last call to the service of hosts failed.
 	hostsUnreachable bool
 }
 
@@ -73,9 +77,9 @@
 	roundInterval  = 100 * time.Millisecond
 	minRoundPause  = 10 * time.Millisecond
 	ordersInterval = 50 * time.Millisecond
-	// roundShare is how many times its own length the pause after a decision is, the
-	// write counted: decisions take a third of the processor at the most, and what
-	// comes waits for the pause.
+	// roundPauseFactor is the length of the pause after a decision, as a multiple of the
+	// decision's duration; the write counts towards the pause. Decisions thus take at most a
+	// third of the processor, at the price that new input waits for the pause.
 	roundPauseFactor = 2
 	listPause        = 200 * time.Millisecond
 	appendTimeout    = 2 * time.Second
@@ -84,8 +88,8 @@
 	maxBatchBytes    = 1 << 20
 )
 
-// playPlanner plans until another instance has claimed the role, the log has
-// not answered for too long, or this instance leaves.
+// runPlanner plans until another instance has claimed the role, the log has not answered for
+// too long, or this instance leaves.
 func (s *Service) runPlanner(ctx context.Context, token int64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -109,15 +113,15 @@
 	p.goroutines.Go(func() { p.sendOrders(ctx) })
 	p.goroutines.Go(func() { p.runMaintenance(ctx) })
 	p.goroutines.Go(func() { p.publishStates(ctx) })
-	why := p.run(ctx)
+	reason := p.run(ctx)
 	s.succession.abandon(token)
 	s.planning.Store(false)
 	cancel()
-	s.events.Info(events.PlannerEnds, events.Fields{"token": token, "why": why})
+	s.events.Info(events.PlannerEnds, events.Fields{"token": token, "why": reason})
 	p.goroutines.Wait()
 }
 
-// noteBegin tells what the planner begins from.
+// logBegin logs the state from which the planner starts.
 func (p *planner) logBegin() {
 	known := p.s.book.Census()
 	p.s.events.Info(events.PlannerBegins, events.Fields{
@@ -137,22 +141,24 @@
 		case <-p.wakeRound:
 		case <-p.s.book.Wake():
 		}
-		if why := p.round(ctx); why != "" {
-			return why
+		if reason := p.round(ctx); reason != "" {
+			return reason
 		}
-		// A round that takes long leaves the processor to others for longer.
+		// A long decision is followed by a long pause, which leaves the processor to others.
 		sleep(ctx, max(minRoundPause, roundPauseFactor*p.decisionTime-time.Since(p.decisionEnd)))
 	}
 }
 
-// round decides, writes and orders; it returns why the role has ended, if it has.
+// round makes decisions, writes them and sends the orders. It returns the reason why the role
+// has ended, or "".
 func (p *planner) round(ctx context.Context) string {
-	if why := p.endReason(ctx); why != "" {
-		return why
+	if reason := p.endReason(ctx); reason != "" {
+		return reason
 	}
 	p.mu.Lock()
 	p.syncCore()
-	// What was read too long ago may have been cancelled, drained or declared anew.
+	// If the last reads are too old, jobs may have been cancelled, workers drained or the
+	// configuration changed since.
 	if now := p.s.clock.Now(); p.listRead && p.hasRecentReadings(now) {
 		began := time.Now()
 		p.core.Round(now, began.UnixMilli())
@@ -182,7 +188,7 @@
 }
 
 func (p *planner) endReason(ctx context.Context) string {
-	if _, mine := p.s.succession.heldToken(); !mine {
+	if _, held := p.s.succession.heldToken(); !held {
 		return "succeeded"
 	}
 	p.mu.Lock()
@@ -198,8 +204,8 @@
 	return ""
 }
 
-// resign lets the others claim at once. Orders end before the record is sent: whoever follows
-// counts from it how long leases last.
+// resign gives up the role, so that other instances can claim it at once. Orders stop before
+// the record is sent, since the successor computes the end of earlier leases from it.
 func (p *planner) resign(ctx context.Context) {
 	p.mu.Lock()
 	p.resigned = true
@@ -211,7 +217,7 @@
 	}
 }
 
-// takeNews brings the core up to date with the log and the lists.
+// syncCore passes new records of the log and changed entries of the lists to the core.
 func (p *planner) syncCore() {
 	if d := p.s.directory.Load(); d != nil && d.Version != p.configVersion {
 		p.configVersion = d.Version
@@ -228,18 +234,18 @@
 	p.syncWorkers()
 }
 
-// Quantities of the planner's that go up and down.
+// Gauges of the planner.
 const (
 	gaugeEvacuatedCentres = "evacuated_centres"
 	gaugeEvacuatedRuns    = "evacuated_runs"
 )
 
-func (p *planner) updateGauges(left control.Evacuated) {
-	p.s.metrics.Set(gaugeEvacuatedCentres, float64(left.Centres))
-	p.s.metrics.Set(gaugeEvacuatedRuns, float64(left.Runs))
+func (p *planner) updateGauges(remaining control.Evacuated) {
+	p.s.metrics.Set(gaugeEvacuatedCentres, float64(remaining.Centres))
+	p.s.metrics.Set(gaugeEvacuatedRuns, float64(remaining.Runs))
 }
 
-// tell writes the core's notes as events.
+// logNotes logs the core's notes as events.
 func (p *planner) logNotes() {
 	for _, n := range p.core.Notes() {
 		fields := events.Fields{"token": p.token, "version": p.configVersion}
@@ -261,7 +267,7 @@
 	}
 }
 
-// write puts records into the log in as many calls as its bounds ask for.
+// write appends records to the log, in as many calls as the size limits require.
 func (p *planner) write(ctx context.Context, records []control.Record) error {
 	if len(records) == 0 {
 		records = []control.Record{{Key: planHeartbeatKey, Value: []byte("{}")}}
@@ -291,22 +297,21 @@
 	return len(records)
 }
 
-// append writes to the planner's own topic. An append that succeeds lengthens its
-// authority.
+// append writes to the plans topic. A successful append extends the planner's authority.
 func (p *planner) append(ctx context.Context, records []control.Record) (int64, error) {
 	first, err := p.appendTo(ctx, Plans, &p.writer, records)
 	return first, errors.Wrap(err, "the planner's append failed")
 }
 
-// appendTo repeats a call until the log has answered it. The sequence number lets
-// the log recognise a repetition.
+// appendTo repeats an append until the log has answered it. The log recognises a repetition by
+// the sequence number.
 func (p *planner) appendTo(ctx context.Context, topic Topic, writer *Writer, records []control.Record) (int64, error) {
 	began := time.Now()
 	for {
 		sent := p.s.clock.Now()
-		attempt, cancel := context.WithTimeout(ctx, appendTimeout)
-		one := *writer
-		first, err := p.s.log.Append(attempt, topic, records, &one)
+		attemptCtx, cancel := context.WithTimeout(ctx, appendTimeout)
+		attemptWriter := *writer
+		first, err := p.s.log.Append(attemptCtx, topic, records, &attemptWriter)
 		cancel()
 		if err == nil {
 			writer.Seq++
@@ -316,7 +321,7 @@
 		if isFenced(err) || ctx.Err() != nil {
 			return 0, err
 		}
-		if _, mine := p.s.succession.heldToken(); !mine {
+		if _, held := p.s.succession.heldToken(); !held {
 			return 0, errors.New("succeeded while the log did not answer")
 		}
 		if time.Since(began) > appendTimeout {
@@ -326,7 +331,7 @@
 	}
 }
 
-// wrote notes when an append was sent that succeeded.
+// recordAppend records when a successful append was sent.
 func (p *planner) recordAppend(topic Topic, sent time.Time) {
 	if topic != Plans {
 		return
@@ -337,13 +342,13 @@
 	p.s.lastPlanWrite.Store(&sent)
 }
 
-// entitled tells whether orders may be given: the last write is recent enough
-// that no successor counts this planner's leases as over.
+// hasAuthority reports whether orders may be given: the last write is recent enough that no
+// successor regards this planner's leases as expired.
 func (p *planner) hasAuthority(now time.Time) bool {
 	return now.Sub(p.lastWrite) < p.s.settings.Bounds.Authority
 }
 
-// release orders the starts that the last write has made safe.
+// sendStarts sends the start orders that the last write has made safe.
 func (p *planner) sendStarts(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -358,8 +363,8 @@
 	}
 }
 
-// keep holds leases, stops and repeats what is due, besides the rounds: a write
-// that the log does not answer must not let leases lapse.
+// sendOrders renews leases, sends stops and repeats orders that are due. It runs independently
+// of the rounds, so that leases do not expire while a write waits for the log.
 func (p *planner) sendOrders(ctx context.Context) {
 	tick := time.NewTicker(ordersInterval)
 	defer tick.Stop()
@@ -376,7 +381,7 @@
 	}
 }
 
-// acting tells whether this planner may give orders now; p.mu is held.
+// canOrder reports whether this planner may give orders now. p.mu must be held.
 func (p *planner) canOrder(now time.Time) bool {
 	return p.hasAuthority(now) && !p.resigned && !p.core.Deposed()
 }
@@ -418,8 +423,8 @@
 	}
 }
 
-// informed tells whether what was read is recent enough to start something: what was
-// read too long ago may have been cancelled, drained or evacuated since.
+// hasRecentReadings reports whether the last reads are recent enough to start something: jobs
+// may have been cancelled, workers drained or data centres evacuated since.
 func (p *planner) hasRecentReadings(now time.Time) bool {
 	return p.s.isRecent(p.s.acceptances.minAge(now), p.s.acceptances.maxAge(now), p.listFollower.age(now), p.s.declarations.age(now), now.Sub(p.lastWrite))
 }
--- a/workload/service/ports.go
+++ b/workload/service/ports.go
@@ -15,30 +15,30 @@
 
 // The topics.
 const (
-	// Jobs is the first topic of acceptances and cancellations, SpareJobs the second;
-	// see AcceptTopic.
+	// Jobs is the first topic of acceptances and cancellations, SpareJobs the second; see
+	// AcceptTopic.
 	Jobs      Topic = "jobs"
 	SpareJobs Topic = "spare-jobs"
-	// Plans has the planner's claim, its signs of life and the jobs' progress;
-	// only the planner writes there, and only those read it that may succeed it.
+	// Plans holds the planner's claim, its heartbeats and the progress of jobs. Only the
+	// planner writes it, and only possible successors read it.
 	Plans Topic = "plans"
-	// States has what callers are told of jobs, and the planner's sign of life; only
-	// the planner writes there, and every instance reads it.
+	// States holds the job states that callers are shown, and the planner's heartbeats. Only
+	// the planner writes it, and every instance reads it.
 	States Topic = "states"
-	// Declarations has what the operators declare.
+	// Declarations holds the declarations of operators.
 	Declarations Topic = "declarations"
-	// WorkerList has what workers say of themselves.
+	// WorkerList holds the entries that workers write about themselves.
 	WorkerList Topic = "workers"
-	// Reports has what operators are told of their waves of maintenance.
+	// Reports holds the progress of maintenance waves for operators.
 	Reports Topic = "reports"
-	// Members has the addresses of instances.
+	// Members holds the addresses of instances.
 	Members Topic = "members"
 )
 
-// MostAcceptTopics is the largest number of topics of acceptances.
+// MostAcceptTopics is the maximum number of topics of acceptances.
 const MostAcceptTopics = 16
 
-// AcceptTopic names the topics of acceptances, numbered from 0.
+// AcceptTopic returns the name of the nth topic of acceptances, counted from 0.
 func AcceptTopic(n int) Topic {
 	switch n {
 	case 0:
@@ -49,8 +49,7 @@
 	return Topic("jobs-" + strconv.Itoa(n))
 }
 
-// Entry is a record with its place in a topic. An empty value means that the
-// key was dropped.
+// Entry is a record with its offset in a topic. An empty value means that the key was dropped.
 type Entry struct {
 	Offset int64
 	Key    string
@@ -60,48 +59,48 @@
 // Page is the answer to a read.
 type Page struct {
 	Entries []Entry
-	// Next is the offset to read from next.
+	// Next is the offset of the next read.
 	Next int64
-	// End is where the topic ended when the log answered; a page below it is
-	// followed by more.
+	// End is the end of the topic when the log answered. If Next is below it, more pages
+	// follow.
 	End int64
 }
 
-// NewestPage is a part of the newest records of each key.
+// NewestPage is a page of the newest records of each key.
 type NewestPage struct {
 	Entries []Entry
-	// After is the key behind which the next page begins.
+	// After is the key after which the next page begins.
 	After string
-	// More tells that a next page follows.
+	// More reports whether another page follows.
 	More bool
-	// End is where the topic ended when the log answered. Pages are made one
-	// after the other; a reader that goes on from the end of the first one misses
-	// nothing.
+	// End is the end of the topic when the log answered. Pages are made one after the other: a
+	// reader that continues from the End of the first page misses nothing.
 	End int64
 }
 
-// Writer fences a planner's appends: the log refuses those of an epoch below
-// the highest that it has seen, and recognises a repeated Seq.
+// Writer fences a planner's appends: the log refuses an append with an epoch below the highest
+// that it has seen, and recognises a repeated Seq.
 type Writer struct {
 	Epoch int64
 	Seq   int64
-	// Expect is the offset at which the topic has to end; below 0 for any.
+	// Expect is the required end offset of the topic; a negative value matches any.
 	Expect int64
 }
 
-// Log is where everything lives that must last.
+// Log is the durable store of all records.
 type Log interface {
-	// Append adds the records consecutively, all or none, and returns the offset
-	// of the first. Errors are one of the marks below; any other error, like
-	// ErrUnknown, does not say whether they were added.
+	// Append adds the records consecutively, all or none, and returns the offset of the first.
+	// An error has one of the marks below. Any other error leaves open, like ErrUnknown,
+	// whether the records were added.
 	Append(ctx context.Context, topic Topic, records []control.Record, writer *Writer) (int64, error)
-	// Read returns records from an offset on. When there are none it waits for
-	// one, at most for wait, and returns an empty page.
+	// Read returns records from an offset on. If there are none, it waits up to wait for one
+	// and then returns an empty page.
 	Read(ctx context.Context, topic Topic, from int64, wait time.Duration) (Page, error)
-	// Newest returns the newest record of each key behind a key, page by page; ""
-	// begins with the first.
+	// Newest returns a page of the newest records of all keys after the given key; "" starts
+	// with the first key.
 	Newest(ctx context.Context, topic Topic, after string) (NewestPage, error)
-	// Probe reads from a topic what says no more than that its part of the log answers.
+	// Probe makes a small read from a topic, which shows only whether its part of the log
+	// answers.
 	Probe(ctx context.Context, topic Topic) error
 }
 
@@ -109,30 +108,30 @@
 var (
 	// ErrNotDone: nothing was added and nothing will be.
 	ErrNotDone = errors.New("the log refused the call and did nothing: repeat it later")
-	// ErrUnknown: the call had no answer and may still be carried out.
+	// ErrUnknown: the call was not answered and may still be carried out.
 	ErrUnknown = errors.New("the log did not answer: read the topic to see whether the call was carried out")
 	// ErrFenced: a later planner has written.
 	ErrFenced = errors.New("a later planner has written: stop giving orders")
-	// ErrMoved: the topic does not end where the call expected.
-	ErrMoved = errors.New("the topic has moved on: read it and decide again")
-	// ErrForgotten: the records asked for are no longer kept.
+	// ErrMoved: the topic does not end at the expected offset.
+	ErrMoved = errors.New("the topic does not end at the expected offset: read it and decide again")
+	// ErrForgotten: the log no longer keeps the requested records.
 	ErrForgotten = errors.New("the records are no longer kept: read the newest of each key")
-	// ErrMalformed: an answer can't be what the log holds.
+	// ErrMalformed: the answer is inconsistent or can't be decoded.
 	ErrMalformed = errors.New("the log's answer is malformed: read the newest of each key again")
 )
 
-// Decoder turns the platform's records into the product's terms.
+// Decoder converts between the platform's records and the types of this module.
 type Decoder interface {
-	// Directory reads a declared configuration; ok is false for other keys.
+	// Directory decodes a declared configuration; ok is false for other keys.
 	Directory(key string, value []byte) (directory *Directory, ok bool, err error)
-	// Wave reads a declared wave of maintenance; ok is false for other keys.
+	// Wave decodes a declared maintenance wave; ok is false for other keys.
 	Wave(key string, value []byte) (wave control.Wave, ok bool, err error)
-	// Evacuation reads the key of a request that a data centre gets nothing new; ok is
-	// false for other keys. The request lasts until its key is dropped.
+	// Evacuation decodes the key of a request to evacuate a data centre; ok is false for other
+	// keys. The request is in force until its key is dropped.
 	Evacuation(key string) (centre string, ok bool)
-	// WaveReport writes a wave's state as operators read it.
+	// WaveReport encodes the state of a wave for operators.
 	WaveReport(report control.WaveReport) control.Record
-	// Listing reads a worker's entry. Errors of this and the other readers are of type
-	// *EntryError.
+	// Listing decodes a worker's entry. The errors of this and the other decoding methods are
+	// of type *EntryError.
 	Listing(key string, value []byte) (control.Listing, error)
 }
--- a/workload/service/round_stats.go
+++ b/workload/service/round_stats.go
@@ -6,16 +6,16 @@
 	"github.com/cobalttide/cobalttide/events"
 )
 
-// tempo adds up how long the planner's rounds and writes take. What comes waits for
-// the round under way, the pause after it and the write: where that grows, everything
-// starts later and nothing else shows it.
+// roundStats collects the durations of the planner's rounds and writes. New input waits for the
+// current round, the pause after it and the write; if these take longer, everything starts
+// later, and no other figure shows it.
 type roundStats struct {
 	since  time.Time
 	rounds durationStats
 	writes durationStats
 }
 
-// span is a number of durations.
+// durationStats aggregates durations.
 type durationStats struct {
 	n        int
 	sum, max time.Duration
@@ -34,25 +34,25 @@
 	return s.sum / time.Duration(s.n)
 }
 
-// tempoEvery is how often the tempo is noted.
+// roundStatsInterval is how often the statistics are logged.
 const roundStatsInterval = time.Second
 
-// note writes a line now and then, and begins anew.
-func (t *roundStats) logIfDue(log *events.Log, now time.Time) {
-	if t.since.IsZero() {
-		t.since = now
+// logIfDue logs the statistics every roundStatsInterval and resets them.
+func (s *roundStats) logIfDue(log *events.Log, now time.Time) {
+	if s.since.IsZero() {
+		s.since = now
 	}
-	if now.Sub(t.since) < roundStatsInterval {
+	if now.Sub(s.since) < roundStatsInterval {
 		return
 	}
 	log.Info(events.PlannerTempo, events.Fields{
-		"rounds": t.rounds.n, "round_ms": milliseconds(t.rounds.mean()), "round_most_ms": milliseconds(t.rounds.max),
-		"writes": t.writes.n, "write_ms": milliseconds(t.writes.mean()), "write_most_ms": milliseconds(t.writes.max),
+		"rounds": s.rounds.n, "round_ms": milliseconds(s.rounds.mean()), "round_most_ms": milliseconds(s.rounds.max),
+		"writes": s.writes.n, "write_ms": milliseconds(s.writes.mean()), "write_most_ms": milliseconds(s.writes.max),
 	})
-	*t = roundStats{since: now}
+	*s = roundStats{since: now}
 }
 
-// ms is a duration in milliseconds, to a tenth.
+// milliseconds converts a duration to milliseconds, rounded to a tenth.
 func milliseconds(d time.Duration) float64 {
 	return float64(d.Round(100*time.Microsecond)) / float64(time.Millisecond)
 }
--- a/workload/service/service.go
+++ b/workload/service/service.go
@@ -18,45 +18,44 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// Settings are what one instance needs to know.
+// Settings configure one instance.
 type Settings struct {
-	// Instance names the instance; it is the same after a restart.
+	// Instance is the name of the instance; it stays the same across restarts.
 	Instance string
 	// Address is where other instances reach this one.
 	Address string
 	Bounds  control.Bounds
-	// Patience is the silence of a planner after which it is succeeded.
+	// Patience is how long a planner may be silent before it is succeeded.
 	Patience time.Duration
-	// Stale is the age of what was read at which this instance stops answering
-	// from it.
+	// Stale is the age of the last reads at which this instance stops answering from them.
 	Stale time.Duration
-	// Stretch is how much older one topic may be while the log serves others: a
-	// part of the log is down then, and nothing new can be written there either.
+	// Stretch is how much older than Stale one topic may be while the log serves others: a part
+	// of the log is then down, and nothing new can be written there either.
 	Stretch time.Duration
-	// Keep is how long a job's state is kept after its end; 0 keeps it for good.
+	// Keep is how long a job's state is kept after its end; 0 keeps it forever.
 	Keep time.Duration
-	// Power is how strong the instance is, in any unit that all share.
+	// Power is the relative capacity of the instance, in any unit that all instances share.
 	Power float64
-	// DataCentre is where the instance is. Standbys are spread over them.
+	// DataCentre is the data centre of the instance. Standbys are spread over the data centres.
 	DataCentre string
-	// AcceptHomes is over how many topics acceptances are spread; 0 is one.
+	// AcceptHomes is the number of topics over which acceptances are distributed; 0 means one.
 	AcceptHomes int
-	// Standbys is how many instances are current with the planner's work; 0 is all.
+	// Standbys is the number of instances that follow the planner's records; 0 means all.
 	Standbys int
-	// Hosts is the platform's service for maintenance; nil where there is none.
+	// Hosts is the platform's service for maintenance; nil if there is none.
 	Hosts Hosts
-	// Clock counts ages; nil is the runtime's, which stands still in a suspension.
+	// Clock measures ages; nil is the runtime's clock, which stops during a suspension.
 	Clock clock.Clock
-	// Woken is called after a suspension of this instance; nil is nothing.
+	// Woken is called after a suspension of this instance; nil is allowed.
 	Woken func()
-	// Peers takes the addresses of the other instances when they change.
+	// Peers receives the addresses of the other instances when they change.
 	Peers func([]string)
 }
 
-// Service is one instance's part. Create it with New, then call Run.
+// Service is the scheduling service of one instance. Create it with New, then call Run.
 type Service struct {
 	settings Settings
-	// clock counts the ages of all that is known here.
+	// clock measures the age of everything that was read.
 	clock        clock.Clock
 	log          Log
 	meter        *meter
@@ -76,13 +75,13 @@
 	evacuations  *evacuations
 	logRecovered *broadcast
 	planning     atomic.Bool
-	// role is held while this instance claims or plays the planner's role: what it has read
-	// for that is let go only outside of it.
+	// roleMu is held while this instance claims the planner's role or plans. The records that
+	// it has read for planning are discarded only while it is not held.
 	roleMu sync.Mutex
-	// wrote is when the planner here sent its last write that succeeded.
+	// lastPlanWrite is when the planner on this instance sent its last successful write.
 	lastPlanWrite atomic.Pointer[time.Time]
 	leaving       atomic.Bool
-	// shown are jobs of whose end callers were told here.
+	// reportedEnds are the jobs whose end this instance has reported to callers.
 	reportedEndsMu sync.Mutex
 	reportedEnds   map[workload.JobID]bool
 }
@@ -94,7 +93,7 @@
 	s.succession = newSuccession(settings.Instance, newIncarnation(), settings.Patience, settings.Clock)
 	s.succession.authority = settings.Bounds.Authority
 	if settings.Address != "" {
-		// Until it knows its place it comes behind the others.
+		// Until the rank is known, this instance claims after the others.
 		s.succession.setTurn(turnsPerTimeout)
 	}
 	s.standby = newStandby(standbyCount(settings), settings.Patience, s.clock.Now())
@@ -112,7 +111,7 @@
 
 func (s *Service) noPause() time.Duration { return 0 }
 
-// standbysOf is how many instances stand by.
+// standbyCount returns the number of standbys.
 func standbyCount(settings Settings) int {
 	if settings.Standbys <= 0 {
 		return math.MaxInt32
@@ -122,24 +121,25 @@
 
 const (
 	readerWait = 700 * time.Millisecond
-	// planWait bounds the planner's reads that wait for news: a connection that has
-	// gone silent, or a log that keeps news from a read that waits, then costs a job
-	// no more than that. One instance reads so often, the others don't.
+	// plannerWait limits a planner's reads that wait for new records. A dead connection, or a
+	// log that holds back new records from waiting reads, then delays a job by no more than
+	// that. Only the planner reads this often.
 	plannerWait = 250 * time.Millisecond
-	// readerRest is the rest of a standby after news. It has to be current by the time
-	// that the planner is taken for silent, which takes many times as long.
+	// standbyPause is the pause of a standby after a read that returned records. A standby has
+	// to be current by the time that the planner is taken for silent, which takes many times as
+	// long.
 	standbyPause  = 200 * time.Millisecond
 	plannerPause  = 10 * time.Millisecond
 	ownPlansPause = time.Second
 )
 
-func (s *Service) follow(topic Topic, snapshot func([]Entry), record func(Entry), pause func() time.Duration) *follower {
+func (s *Service) follow(topic Topic, applyAll func([]Entry), applyOne func(Entry), pause func() time.Duration) *follower {
 	retry := slowReadRetryPause
 	if topic == States {
-		// It finds out whether the log is back.
+		// The follower of the states detects the recovery of the log.
 		retry = readRetryPause
 	}
-	return &follower{topic: topic, log: s.log, wait: s.readWait, pause: pause, retry: retry, logRecovered: s.logRecovered, clock: s.clock, applyAll: snapshot, applyOne: record, connectionChanged: s.reportConnection}
+	return &follower{topic: topic, log: s.log, wait: s.readWait, pause: pause, retry: retry, logRecovered: s.logRecovered, clock: s.clock, applyAll: applyAll, applyOne: applyOne, connectionChanged: s.reportConnection}
 }
 
 func (s *Service) readWait() time.Duration {
@@ -156,7 +156,7 @@
 	return standbyPause
 }
 
-// A planner need not read what it has written itself.
+// plansPause is long for a planner, which need not read its own records.
 func (s *Service) plansPause() time.Duration {
 	if s.planning.Load() {
 		return ownPlansPause
@@ -199,7 +199,8 @@
 	s.storePlanRecord(e)
 }
 
-// keepPlan keeps a record of the planner's, that of a wave or of a job.
+// storePlanRecord stores a planner's record of a maintenance wave or a job. It ignores claims and
+// heartbeats.
 func (s *Service) storePlanRecord(e Entry) {
 	switch {
 	case e.Key == claimKey || e.Key == planHeartbeatKey:
@@ -210,10 +211,10 @@
 	}
 }
 
-// mostProblems bounds the lines about one configuration.
+// maxLoggedProblems limits the events for one configuration.
 const maxLoggedProblems = 20
 
-// noteUnreadable says that an entry, or a part of one, is not used.
+// logUnreadable logs that an entry, or a part of one, is not used.
 func (s *Service) logUnreadable(e Entry, err error) {
 	reason := FaultSyntax
 	if problem := (*EntryError)(nil); errors.As(err, &problem) {
@@ -222,7 +223,7 @@
 	s.events.Info(events.RecordUnreadable, events.Fields{"key": e.Key, "offset": e.Offset, "reason": string(reason), "cause": err.Error()})
 }
 
-// Run works until ctx ends.
+// Run serves until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, work := range []func(context.Context){newMembers(s).run, s.states.run, s.declarations.run, s.acceptances.run, s.runStandby, s.elect, s.watchSuspensions} {
@@ -232,18 +233,18 @@
 	group.Wait()
 }
 
-// Leave gives up the planner's role and takes it no more.
+// Leave gives up the planner's role and stops this instance from claiming it again.
 func (s *Service) Leave() { s.leaving.Store(true) }
 
-// Ready tells whether new callers are served well here.
+// Ready reports whether this instance should receive new callers.
 func (s *Service) Ready() bool {
 	return !s.leaving.Load() && s.CheckCurrent() == nil && s.isLogReachable()
 }
 
-// Directory returns the configuration in force; nil before the first.
+// Directory returns the configuration in force, or nil before the first one is read.
 func (s *Service) Directory() *Directory { return s.directory.Load() }
 
-// Submit accepts a job. Nil means that it is in the log. A refusal with the
+// Submit accepts a job. A nil error means that the job is in the log. A refusal with the
 // outcome not-run means that it never will be.
 func (s *Service) Submit(ctx context.Context, job *workload.Job) error {
 	if _, known := s.book.Get(job.ID); known {
@@ -272,11 +273,11 @@
 	return s.refuse(job.ID, logErrorRefusal(err))
 }
 
-// longestShape bounds what a line says of a job's steps.
+// maxLoggedShapeBytes limits the size of a job's steps in an event.
 const maxLoggedShapeBytes = 1000
 
-// shape is the job's steps as a line has them, so that a load can be played
-// again; "" where that is too long.
+// loggedShape returns the job's steps for an event, from which a load can be replayed, or "" if
+// that is too long.
 func loggedShape(job *workload.Job) string {
 	text, err := json.Marshal(job.Steps)
 	if err != nil || len(text) > maxLoggedShapeBytes {
@@ -285,7 +286,7 @@
 	return string(text)
 }
 
-// NoteRefusal notes a caller's request that was refused before it reached Submit.
+// NoteRefusal logs a request that was refused before it reached Submit.
 func (s *Service) NoteRefusal(id workload.JobID, err error) { _ = s.refuse(id, err) }
 
 func (s *Service) refuse(id workload.JobID, err error) error {
@@ -294,8 +295,8 @@
 	return refusal
 }
 
-// commit writes a record. It gives up while the caller still has time to ask at
-// another instance: this one may be the only one that is cut off.
+// commit writes a record. It gives up while the caller still has time to try another instance,
+// since only this one may be disconnected.
 func (s *Service) commit(ctx context.Context, id workload.JobID, record control.Record) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		limited, cancel := context.WithTimeout(ctx, max(time.Until(deadline)/2, minCommitTimeout))
@@ -305,10 +306,10 @@
 	return s.acceptances.add(ctx, id, record)
 }
 
-// leastCommit is the least time that a record is given.
+// minCommitTimeout is the minimum time for writing a record.
 const minCommitTimeout = time.Second
 
-// logRefusal turns an error of the log into what it proves.
+// logErrorRefusal converts an error of the log into the refusal whose outcome the error proves.
 func logErrorRefusal(err error) error {
 	if errors.Is(err, ErrUnknown) || !errors.Is(err, ErrNotDone) {
 		return domain.OutcomeUnknown(domain.ReasonLogUnavailable, err.Error())
@@ -323,9 +324,8 @@
 	return 0
 }
 
-// State returns what became of a job; a refusal with the reason not-found means
-// that nobody handed it in. A final state stands for good, so that it is told
-// however long ago it was read.
+// State returns the state of a job. A refusal with the reason not-found means that the job was
+// never submitted. A final state never changes and is returned however long ago it was read.
 func (s *Service) State(ctx context.Context, id workload.JobID) (workload.State, error) {
 	state, err := s.latestState(ctx, id)
 	if err == nil && state.Final() {
@@ -334,11 +334,11 @@
 	return state, err
 }
 
-// mostShown bounds the jobs that are remembered as shown; then it begins anew.
+// maxReportedEnds limits reportedEnds; at the limit the set is cleared.
 const maxReportedEnds = 10_000
 
-// noteShown says when callers are first told of an end: until then it has not happened
-// for them.
+// recordReportedEnd logs when callers are first shown the end of a job: for them it has not
+// happened before.
 func (s *Service) recordReportedEnd(id workload.JobID, state workload.State) {
 	s.reportedEndsMu.Lock()
 	known := s.reportedEnds[id]
@@ -367,8 +367,8 @@
 	return e.Shown(), err
 }
 
-// find returns a job's entry. One that is not known here may have been accepted
-// elsewhere a moment ago, so the log is read to its end before it is denied.
+// findJob returns a job's entry. A job that is not known here may just have been accepted by
+// another instance, so the log is read to its end before not-found is returned.
 func (s *Service) findJob(ctx context.Context, id workload.JobID) (workload.Entry, error) {
 	if e, known := s.book.Get(id); known {
 		return e, nil
@@ -382,7 +382,7 @@
 	return workload.Entry{}, domain.Refuse(domain.ReasonNotFound, "id", "no such job", "check the id")
 }
 
-// Cancel stops a job for good.
+// Cancel cancels a job permanently.
 func (s *Service) Cancel(ctx context.Context, id workload.JobID) error {
 	e, err := s.findJob(ctx, id)
 	if err != nil {
@@ -400,7 +400,7 @@
 	return nil
 }
 
-// Pending returns how many accepted jobs of a queue have not begun.
+// Pending returns the number of accepted jobs of a queue that have not started.
 func (s *Service) Pending(queue string) (int, error) {
 	if err := s.CheckCurrent(); err != nil {
 		return 0, err
--- a/workload/service/standby.go
+++ b/workload/service/standby.go
@@ -10,100 +10,104 @@
 	"github.com/cobalttide/cobalttide/events"
 )
 
-// Who reads what the planner writes. Acceptances and progress are most of what the
-// log holds; if every instance read them, the bytes would grow with work times instances, beyond
-// the rate that all reads share. So a few standbys read them, which are
-// current when the planner falls silent, and all others read the states alone.
+// Which instances read the planner's records. Acceptances and progress are the largest part of
+// the log; if every instance read them, the bytes read would grow with the load times the
+// number of instances, beyond the rate that all reads share. Therefore only a few standbys read
+// them, which are current when the planner falls silent; all other instances read only the
+// states.
 //
-// Any number of instances may be lost at once, the standbys among them. Whoever has
-// heard no planner for long reads as well, in waves that double: the first are as
-// many as the standbys, and all have begun after a few patiences, whatever the number
-// of instances.
+// Any number of instances may be lost at once, including the standbys. An instance that has
+// seen no sign of a planner for long starts to read as well, in waves that double in size: the
+// first wave is as large as the set of standbys, and all instances have started after a few
+// planner timeouts, whatever their number.
 
-// standby says whether this instance reads what the planner writes.
+// standby decides whether this instance reads the planner's records.
 type standby struct {
-	// most is the number of standbys, patience the silence of a planner after which
-	// it is succeeded.
+	// count is the number of standbys, plannerTimeout the silence after which a planner is
+	// succeeded.
 	count          int
 	plannerTimeout time.Duration
 
 	mu sync.Mutex
-	// place is this instance's among the candidates; below 0 it is not known yet.
+	// rank is this instance's rank among the candidates; negative while it is unknown.
 	rank int
-	// quiet is when the planner was heard last, or the log was regained.
+	// heardAt is when the planner was last heard or the log was last unreachable.
 	heardAt time.Time
-	// wanted is when reading was last worth it.
+	// neededAt is when this instance last had a reason to read.
 	neededAt time.Time
 }
 
 const (
-	// wakeAfter is the silence, in patiences, after which instances that don't stand
-	// by begin to read: a standby would have claimed by then, and its first sign be read.
+	// activateAfter is the silence, in planner timeouts, after which instances that are not
+	// standbys start to read: by then a standby would have claimed and its first heartbeat been
+	// read.
 	activateAfter = 2
-	// wakeWave is the time between waves, in patiences: what claiming takes at the
-	// least once all is read.
+	// activationWaveInterval is the time between waves, in planner timeouts: the minimum time
+	// that a claim takes once everything is read.
 	activationWaveInterval = 0.5
-	// wakeWaves bounds the waves; those that don't know their place are in the last.
+	// maxActivationWaves limits the number of waves; instances that don't know their rank are
+	// in the last one.
 	maxActivationWaves = 8
-	// standbyEvery is how often it is looked at.
+	// standbyInterval is how often an instance checks whether it should read.
 	standbyInterval = 50 * time.Millisecond
-	// standbyRest is how many patiences an instance that was needed reads on once it
-	// is not: planners that are lost one after the other find it current.
+	// standbyLinger is how long, in planner timeouts, an instance keeps reading once it is no
+	// longer needed, so that it is current when planners are lost one after the other.
 	standbyLinger = 4
 )
 
-func newStandby(most int, patience time.Duration, now time.Time) *standby {
-	return &standby{count: most, plannerTimeout: patience, rank: -1, heardAt: now}
+func newStandby(count int, plannerTimeout time.Duration, now time.Time) *standby {
+	return &standby{count: count, plannerTimeout: plannerTimeout, rank: -1, heardAt: now}
 }
 
-// wave is the place of an instance's turn among those that don't stand by: the
-// first standbys' number is in the first, and each wave doubles what reads.
-func activationWave(place, standbys int) int {
-	if place < 0 {
+// activationWave returns the wave in which an instance that is not a standby starts to read.
+// The first wave has as many instances as there are standbys, and each wave doubles the number
+// of readers.
+func activationWave(rank, standbys int) int {
+	if rank < 0 {
 		return maxActivationWaves
 	}
-	return min(maxActivationWaves, bits.Len(uint(place/max(1, standbys)))-1)
+	return min(maxActivationWaves, bits.Len(uint(rank/max(1, standbys)))-1)
 }
 
-// wants tells whether to read now.
+// shouldRead reports whether to read now.
 func (s *standby) shouldRead(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stands := s.rank >= 0 && s.rank < s.count
-	if stands || now.Sub(s.heardAt) > s.activationSilence() {
+	isStandby := s.rank >= 0 && s.rank < s.count
+	if isStandby || now.Sub(s.heardAt) > s.activationSilence() {
 		s.neededAt = now
 	}
 	return !s.neededAt.IsZero() && now.Sub(s.neededAt) < standbyLinger*s.plannerTimeout
 }
 
-// wakes is the silence after which this instance reads; s.mu is held.
+// activationSilence returns the silence after which this instance reads. s.mu must be held.
 func (s *standby) activationSilence() time.Duration {
 	return time.Duration((activateAfter + activationWaveInterval*float64(activationWave(s.rank, s.count))) * float64(s.plannerTimeout))
 }
 
-// heard notes a sign of the planner.
+// recordHeard records a sign of life of the planner.
 func (s *standby) recordHeard(now time.Time) {
 	s.mu.Lock()
 	s.heardAt = now
 	s.mu.Unlock()
 }
 
-// lastHeard is when the planner was heard last.
+// lastHeard returns when the planner was last heard.
 func (s *standby) lastHeard() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.heardAt
 }
 
-func (s *standby) setRank(place int) {
+func (s *standby) setRank(rank int) {
 	s.mu.Lock()
-	s.rank = place
+	s.rank = rank
 	s.mu.Unlock()
 }
 
-// silentSince is from when on an instance that has just read the plans counts their
-// silence: one that woke because no planner was heard among the states, which it
-// could read all the while, goes on from there.
+// plannerSilentSince returns the start of the planner's silence for an instance that has just
+// read the plans. If the instance started to read because the states, which it could read all
+// the while, showed no heartbeat, the silence counts from the last one.
 func (s *Service) plannerSilentSince(now time.Time) time.Time {
 	heard := s.standby.lastHeard()
 	if s.states.connected() && now.Sub(heard) > activateAfter*s.settings.Patience {
@@ -112,7 +116,7 @@
 	return now
 }
 
-// standBy reads acceptances and progress while that is worth it.
+// runStandby reads acceptances and progress while that is needed.
 func (s *Service) runStandby(ctx context.Context) {
 	var stop func()
 	defer func() {
@@ -123,14 +127,14 @@
 	for ctx.Err() == nil {
 		now := s.clock.Now()
 		if !s.isLogReachable() {
-			// Silence counts only while it could be broken.
+			// Silence counts only while a heartbeat could be read.
 			s.standby.recordHeard(now)
 		}
-		wants := s.standby.shouldRead(now)
+		needed := s.standby.shouldRead(now)
 		switch {
-		case wants && stop == nil:
+		case needed && stop == nil:
 			stop = s.followPlans(ctx)
-		case !wants && stop != nil && s.roleMu.TryLock():
+		case !needed && stop != nil && s.roleMu.TryLock():
 			stop()
 			stop = nil
 			s.book.Shed()
@@ -141,8 +145,8 @@
 	}
 }
 
-// readPlans begins to follow what the planner and those who accept write, and
-// returns what ends it.
+// followPlans starts to follow the topics that a planner needs, and returns a function that
+// stops it.
 func (s *Service) followPlans(ctx context.Context) func() {
 	s.events.Info(events.StandbyBegins, events.Fields{"silent_ms": s.clock.Since(s.standby.lastHeard()).Milliseconds()})
 	ctx, cancel := context.WithCancel(ctx)
@@ -161,7 +165,7 @@
 	}
 }
 
-// plannersOwn are the topics that only a planner and its standbys follow.
+// planningTopics returns the followers of the topics that only a planner and its standbys read.
 func (s *Service) planningTopics() []*follower {
 	return append(slices.Clone(s.acceptances.topics), s.plans)
 }
--- a/workload/service/states.go
+++ b/workload/service/states.go
@@ -9,40 +9,40 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// The states: what every instance reads of the planner's work. The planner states a
-// job once its acceptance or its progress is in the log, so that nothing is told
-// that a successor would not know. Statements only add to what is known
-// (workload.Book), so that one that is written late does no harm to a reader; the
-// log's fence keeps an earlier planner from leaving an old one as the newest.
+// The states: the part of the planner's work that every instance reads. The planner publishes
+// the state of a job once its acceptance or progress is in the log, so that nothing is shown to
+// callers that a successor would not know. State records only add to what is known (see
+// workload.Book), so one that is written late does readers no harm; the log's fencing prevents
+// an earlier planner from leaving an old state as the newest record.
 
-// headKey is the key of the planner's sign of life among the states.
+// statesHeartbeatKey is the key of the planner's heartbeat in the states.
 const statesHeartbeatKey = "head"
 
-// head is the planner's sign among the states.
+// statesHeartbeat is the planner's heartbeat in the states.
 type statesHeartbeat struct {
 	Holder string `json:"holder"`
 	Token  int64  `json:"token"`
-	// Accepted are offsets of the topics of acceptances: whatever was accepted before
-	// them is stated here, or was stated before.
+	// Accepted are offsets of the topics of acceptances: the state of every job that was
+	// accepted before them has been published by the time of this record.
 	Accepted []int64 `json:"accepted"`
 }
 
 const (
-	// stateEvery is the least time between two appends of statements, which follow the
-	// planner's writes at once else. It bounds the planner's calls for them at 40 a second.
+	// statesInterval is the minimum time between two appends of states, which otherwise follow
+	// the planner's writes at once. It limits them to 40 calls a second.
 	statesInterval = 25 * time.Millisecond
-	// stateIdle is how often it is looked whether a sign of life is due.
+	// statesIdleInterval is how often the planner checks whether a heartbeat is due.
 	statesIdleInterval = 100 * time.Millisecond
-	// statesMost bounds the statements of one append.
+	// maxStatesBatch limits the state records of one append.
 	maxStatesBatch = 500
-	// statesPeriod is how often an instance reads the states. Callers who ask for a job
-	// that has not ended make it read at once.
+	// statesReadInterval is how often an instance reads the states. A caller that queries a job
+	// that has not ended triggers a read at once.
 	statesReadInterval = time.Second
-	// shownWithin is the age of the states at which a job that has not ended is shown
-	// without a look.
+	// freshStatesAge is the age of the states up to which the state of a job that has not ended
+	// is returned without another read.
 	freshStatesAge = 100 * time.Millisecond
-	// lookTime is the longest that a look holds up a caller who can be told what
-	// was read before.
+	// catchUpTimeout is how long a catch-up may delay a caller that can be given the state read
+	// before.
 	catchUpTimeout = 300 * time.Millisecond
 )
 
@@ -57,18 +57,17 @@
 		s.applyJobRecord(e)
 		return
 	}
-	h := statesHeartbeat{}
-	if err := json.Unmarshal(e.Value, &h); err != nil {
+	heartbeat := statesHeartbeat{}
+	if err := json.Unmarshal(e.Value, &heartbeat); err != nil {
 		s.logUnreadable(e, err)
 		return
 	}
 	s.standby.recordHeard(s.clock.Now())
-	s.acceptances.skipTo(h.Accepted)
+	s.acceptances.skipTo(heartbeat.Accepted)
 }
 
-// refresh reads the states if what was read is not quite new, so that the end of
-// a job is shown as soon as it is stated. Where that fails the answer is what was
-// read before.
+// refreshStates reads the states unless they were read very recently, so that the end of a job
+// is shown as soon as it is published. If the read fails, the state read before is used.
 func (s *Service) refreshStates(ctx context.Context) {
 	if s.planning.Load() || !s.states.connected() || s.states.age(s.clock.Now()) < freshStatesAge {
 		return
@@ -78,14 +77,14 @@
 	_ = s.states.catchUp(ctx)
 }
 
-// endLooks are the pauses between looks while a caller waits for the end of a job. The
-// sum is some times what an end takes on its way over the planner to the states under
-// load: a decision, a pause, two writes.
+// endPollPauses are the pauses between reads while a caller waits for the end of a job. Their
+// sum is several times what the end of a job takes under load to reach the states: a decision,
+// a pause and two writes.
 var endPollPauses = []time.Duration{80 * time.Millisecond, 120 * time.Millisecond, 200 * time.Millisecond}
 
-// awaitEnd holds a caller up for a moment who asks for a job that runs. Callers often
-// ask right after the last task has ended, when that is on its way to the states: told
-// that the job still runs, they come back much later. It returns what is known then.
+// awaitEnd delays the answer about a running job for a moment and returns the newest entry.
+// Callers often ask right after the last task has ended, before the end is published; if they
+// are told that the job still runs, they ask again only much later.
 func (s *Service) awaitEnd(ctx context.Context, id workload.JobID, e workload.Entry) workload.Entry {
 	for _, pause := range endPollPauses {
 		if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < 2*pause {
@@ -93,48 +92,49 @@
 		}
 		sleep(ctx, pause)
 		s.refreshStates(ctx)
-		now, known := s.book.Get(id)
+		latest, known := s.book.Get(id)
 		if !known {
 			return e
 		}
-		if e = now; e.State.Final() {
+		if e = latest; e.State.Final() {
 			return e
 		}
 	}
 	return e
 }
 
-// publish states what has changed until ctx ends or a later planner states.
+// publishStates publishes changed states until ctx ends or a later planner has written.
 func (p *planner) publishStates(ctx context.Context) {
 	writer := Writer{Epoch: p.token, Seq: p.s.succession.firstSeq() + 1, Expect: -1}
-	said := time.Time{}
-	covered := statesHeartbeat{Holder: p.s.settings.Instance, Token: p.token}
+	published := time.Time{}
+	heartbeat := statesHeartbeat{Holder: p.s.settings.Instance, Token: p.token}
 	for ctx.Err() == nil {
 		sleep(ctx, statesInterval)
 		p.awaitWrite(ctx)
-		// Read before the statements: what is folded later is not covered.
-		places := p.s.acceptances.offsets()
-		statements, all := p.s.book.Unstated(maxStatesBatch)
+		// Read before the states are collected: acceptances that are applied later are not
+		// covered.
+		offsets := p.s.acceptances.offsets()
+		states, all := p.s.book.Unstated(maxStatesBatch)
 		dropped := p.takeDroppedStates()
-		if len(statements)+len(dropped) == 0 && p.s.clock.Since(said) < p.s.settings.Patience/4 {
+		if len(states)+len(dropped) == 0 && p.s.clock.Since(published) < p.s.settings.Patience/4 {
 			continue
 		}
 		if all {
-			covered.Accepted = places
+			heartbeat.Accepted = offsets
 		}
-		records := append(dropped, stateRecords(statements, covered)...)
+		records := append(dropped, stateRecords(states, heartbeat)...)
 		if _, err := p.appendTo(ctx, States, &writer, records); err != nil {
 			return
 		}
-		said = p.s.clock.Now()
+		published = p.s.clock.Now()
 		for _, r := range records[:len(records)-1] {
 			p.s.applyJobRecord(Entry{Key: r.Key, Value: r.Value})
 		}
-		p.s.standby.recordHeard(said)
+		p.s.standby.recordHeard(published)
 	}
 }
 
-// awaitWrite waits until the planner has written something, or a while.
+// awaitWrite waits until the planner has written something, at most for statesIdleInterval.
 func (p *planner) awaitWrite(ctx context.Context) {
 	timer := time.NewTimer(statesIdleInterval)
 	defer timer.Stop()
@@ -145,7 +145,7 @@
 	}
 }
 
-// drop has statements on jobs dropped that are to be forgotten.
+// dropStates queues the removal of the states of expired jobs.
 func (p *planner) dropStates(ids []workload.JobID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,13 +162,13 @@
 	return out
 }
 
-// statementRecords writes statements, and the head behind them.
-func stateRecords(statements map[workload.JobID][]byte, h statesHeartbeat) []control.Record {
-	records := make([]control.Record, 0, len(statements)+1)
-	for id, value := range statements {
+// stateRecords returns the records of the states, followed by the heartbeat.
+func stateRecords(states map[workload.JobID][]byte, heartbeat statesHeartbeat) []control.Record {
+	records := make([]control.Record, 0, len(states)+1)
+	for id, value := range states {
 		records = append(records, control.Record{Key: workload.StatedKey(id), Value: value})
 	}
-	value, err := json.Marshal(h)
+	value, err := json.Marshal(heartbeat)
 	if err != nil {
 		panic(err)
 	}
--- a/workload/service/succession.go
+++ b/workload/service/succession.go
@@ -20,17 +20,18 @@
 	planHeartbeatKey = "sign"
 )
 
-// claim is the record by which an instance takes the planner's role. The
-// offset at which it stands makes the fencing token.
+// claim is the record by which an instance takes the planner's role. The fencing token is
+// derived from its offset.
 type claim struct {
-	// Holder is the instance; Life tells its lives, and those of others, apart.
+	// Holder is the instance; Incarnation distinguishes its incarnations from each other and
+	// from those of other instances.
 	Holder      string `json:"holder"`
 	Incarnation int64  `json:"life"`
-	// Left tells that the holder has given the role up.
+	// Resigned is set when the holder has given up the role.
 	Resigned bool `json:"left,omitempty"`
 }
 
-// succession watches the planner's records and says when to claim the role.
+// succession follows the planner's records and decides when to claim the role.
 type succession struct {
 	mu             sync.Mutex
 	self           claim
@@ -39,52 +40,53 @@
 	current        claim
 	offset         int64
 	hasClaim       bool
-	// sent is when the claim at the offset was sent, where it is this life's and was answered.
+	// claimSentAt is when the claim at the offset was sent, if this incarnation sent it and
+	// received the answer.
 	claimSentAt time.Time
 	// authority is how long a planner gives orders after its last write.
 	authority time.Duration
-	// claimedAt is when the standing claim was read first. endedAt is from when on nobody gives
-	// orders, where the last planner has resigned, and inheritedAt what that was at the claim
-	// that followed; zero is unknown.
+	// claimReadAt is when the current claim was first read. ordersEndedAt is the time after
+	// which no planner gives orders, if the last one has resigned. inheritedOrdersEndedAt is
+	// the value that ordersEndedAt had right before the current claim. Zero means unknown.
 	claimReadAt, ordersEndedAt, inheritedOrdersEndedAt time.Time
-	// quiet is when the last record came, or the connection was regained.
+	// silentSince is when the last record arrived or the connection was restored.
 	silentSince time.Time
-	// spent is the offset of a claim of this life that was given up. Its token
-	// must not be used again: the log would take new appends for repetitions.
+	// abandonedOffset is the offset of an abandoned claim of this incarnation. Its token must
+	// not be used again: the log would take new appends for repetitions.
 	abandonedOffset int64
-	// turn is this instance's place among the candidates; 0 claims first.
+	// turn is this instance's position among the candidates; 0 claims first.
 	turn int
-	// notBefore delays the next claim after one that failed.
+	// notBefore is the earliest time of the next claim after a failed one.
 	notBefore time.Time
 }
 
-// claimRest is the pause after a claim that failed; by then the topic has been
-// read again.
+// claimRetryPause is the pause after a failed claim; by its end the topic has been read again.
 const claimRetryPause = 400 * time.Millisecond
 
-// failed delays the next claim.
+// claimFailed delays the next claim.
 func (s *succession) claimFailed(now time.Time) {
 	s.mu.Lock()
 	s.notBefore = now.Add(claimRetryPause)
 	s.mu.Unlock()
 }
 
-// firstSeq starts the sequence of a life's appends. It differs between lives,
-// so that the log never takes the claim of one for a repetition of another's.
+// firstSeq returns the first sequence number of this incarnation. It differs between
+// incarnations, so that the log never takes the claim of one for a repetition of another's.
 func (s *succession) firstSeq() int64 { return s.self.Incarnation%seqSpace + 1 }
 
 const seqSpace = 1 << 40
 
-// drawLife returns a number for a life of an instance. It is drawn, since two lives may begin
-// at one time of day, which is set back and forth: with one number the log would take the claim
-// of the second for a repetition of the first's, and both would plan.
+// newIncarnation returns a random number for an incarnation. The time of day would not do,
+// since it can be set back and two incarnations may start at the same time: with equal numbers
+// the log would take the claim of the second for a repetition of the first's, and both would
+// plan.
 func newIncarnation() int64 { return 1 + rand.Int64N(math.MaxInt64-1) }
 
-func newSuccession(holder string, life int64, patience time.Duration, ages clock.Clock) *succession {
-	return &succession{self: claim{Holder: holder, Incarnation: life}, plannerTimeout: patience, clock: ages, silentSince: ages.Now(), offset: -1, abandonedOffset: -1}
+func newSuccession(holder string, incarnation int64, plannerTimeout time.Duration, ages clock.Clock) *succession {
+	return &succession{self: claim{Holder: holder, Incarnation: incarnation}, plannerTimeout: plannerTimeout, clock: ages, silentSince: ages.Now(), offset: -1, abandonedOffset: -1}
 }
 
-// observe takes a record of the planner's topic.
+// observe processes a record of the plans topic.
 func (s *succession) observe(e Entry, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +107,9 @@
 	s.hasClaim = true
 }
 
-// follow notes when orders end, with the record that follows the current one. Before a planner
-// that resigns there may have been another one, which gave orders until its authority was over.
+// recordSuccessor updates when orders end, given the record that follows the current claim.
+// Before a planner that resigns there may have been another one, which gave orders until its
+// authority expired.
 func (s *succession) recordSuccessor(next claim, now time.Time) {
 	if !next.Resigned {
 		s.claimReadAt, s.inheritedOrdersEndedAt, s.ordersEndedAt = now, s.ordersEndedAt, time.Time{}
@@ -125,8 +128,8 @@
 	return b
 }
 
-// ordersEnded is from when on no earlier planner gives orders, as far as the claim that this life
-// holds tells; zero is unknown.
+// ordersEnded returns the time after which no earlier planner gives orders, as known from the
+// claim that this incarnation holds; zero means unknown.
 func (s *succession) ordersEnded() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,14 +139,15 @@
 	return s.inheritedOrdersEndedAt
 }
 
-// regained starts the wait anew: silence counts only while it could be broken.
+// resetSilence restarts the wait: silence counts only while records could be read.
 func (s *succession) resetSilence(now time.Time) {
 	s.mu.Lock()
 	s.silentSince = now
 	s.mu.Unlock()
 }
 
-// mine returns the token if this life holds the claim.
+// heldToken returns the fencing token of the current claim and reports whether this incarnation
+// holds that claim.
 func (s *succession) heldToken() (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,16 +158,17 @@
 	return s.hasClaim && !s.current.Resigned && s.current.Holder == s.self.Holder && s.current.Incarnation == s.self.Incarnation
 }
 
-// spend gives the claim with the token up.
+// abandon gives up the claim with the token.
 func (s *succession) abandon(token int64) {
 	s.mu.Lock()
 	s.abandonedOffset = max(s.abandonedOffset, token-1)
 	s.mu.Unlock()
 }
 
-// due tells whether to claim: at once where the holder has left, or was an
-// earlier life of this instance; else after a silence that is longer for some
-// instances than for others, so that they do not all claim together.
+// isClaimDue reports whether to claim the role: at once if this incarnation has abandoned the
+// current claim or an earlier incarnation of this instance holds it, in turn if the holder has
+// resigned, and else in turn once the planner has been silent for the planner timeout. The
+// turns keep the instances from claiming all together.
 func (s *succession) isClaimDue(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,19 +188,19 @@
 	return now.Sub(s.silentSince) > s.plannerTimeout+turn
 }
 
-// turnsInPatience is how many turns pass in one patience: turns are far enough
-// apart that the claim of one candidate is read before the next one's is due.
+// turnsPerTimeout is the number of turns in one planner timeout. It spaces the turns far enough
+// that the claim of one candidate is read before the next one's is due.
 const turnsPerTimeout = 16
 
-// setTurn gives this instance its place among the candidates. Those far behind
-// share a turn: nobody waits for more than two patiences.
+// setTurn sets this instance's position among the candidates. Candidates far behind share a
+// turn, so that none waits for more than two planner timeouts.
 func (s *succession) setTurn(turn int) {
 	s.mu.Lock()
 	s.turn = min(turn, turnsPerTimeout)
 	s.mu.Unlock()
 }
 
-// record writes the claim as a record.
+// record encodes the claim as a record.
 func (c claim) record() control.Record {
 	value, err := json.Marshal(c)
 	if err != nil {
@@ -204,8 +209,8 @@
 	return control.Record{Key: claimKey, Value: value}
 }
 
-// take claims the role for the topic's end as this instance knows it. Of
-// several instances that claim at one end the log lets one succeed.
+// claim claims the role at the end of the topic as this instance has read it. If several
+// instances claim at the same end, the log accepts one of them.
 func (s *succession) claim(ctx context.Context, log Log, end int64) (int64, error) {
 	token := end + 1
 	sent := s.clock.Now()
@@ -218,7 +223,7 @@
 	return token, nil
 }
 
-// answered notes when the claim at an offset was sent.
+// recordClaimSent records when the claim at an offset was sent.
 func (s *succession) recordClaimSent(offset int64, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,13 +232,13 @@
 	}
 }
 
-// claimed is when the claim that this life holds was sent; zero where it had no answer, so
-// that nothing tells how long ago it was carried out.
+// claimSent returns when the claim that this incarnation holds was sent. It is zero if the
+// claim was not answered, since it is then unknown when it was carried out.
 func (s *succession) claimSent() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.claimSentAt
 }
 
-// fenced tells whether an error means that another planner has written.
+// isFenced reports whether an error means that another planner has written.
 func isFenced(err error) bool { return errors.Is(err, ErrFenced) || errors.Is(err, ErrMoved) }
--- a/workload/service/suspension.go
+++ b/workload/service/suspension.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// wakeLook is how often it is looked whether this instance was suspended.
+	// suspensionCheckInterval is how often an instance checks whether it was suspended.
 	suspensionCheckInterval = 100 * time.Millisecond
-	// suspendedLeast is the least suspension that is told: two clocks that are read one
+	// minSuspension is the shortest suspension that is reported. Two clocks that are read one
 	// after the other differ by less.
 	minSuspension = 200 * time.Millisecond
 )
 
-// watchSuspensions notices that this instance was suspended: the clock of ages ran on and
-// the runtime's did not. What was known by then is old by itself; connections that were
-// open may be gone without a sign, and are given up.
+// watchSuspensions detects suspensions of this instance: the clock of ages advances during one
+// and the runtime's clock does not. What was read before is then old by its age, but open
+// connections may be dead without any sign; Settings.Woken closes them.
 func (s *Service) watchSuspensions(ctx context.Context) {
 	if s.clock == nil {
 		return
@@ -26,21 +26,21 @@
 	ages, steady := s.clock.Now(), time.Now()
 	for ctx.Err() == nil {
 		sleep(ctx, suspensionCheckInterval)
-		slept := s.clock.Since(ages) - time.Since(steady)
+		suspended := s.clock.Since(ages) - time.Since(steady)
 		ages, steady = s.clock.Now(), time.Now()
-		if slept < minSuspension {
+		if suspended < minSuspension {
 			continue
 		}
-		s.events.Info(events.Suspended, events.Fields{"for_ms": slept.Milliseconds(), "planning": s.planning.Load()})
-		s.metrics.Observe(telemetry.Suspension, slept)
+		s.events.Info(events.Suspended, events.Fields{"for_ms": suspended.Milliseconds(), "planning": s.planning.Load()})
+		s.metrics.Observe(telemetry.Suspension, suspended)
 		if s.settings.Woken != nil {
 			s.settings.Woken()
 		}
 	}
 }
 
-// mayStillOrder tells whether an order may leave now. It is asked where the order is sent:
-// the instance may have been suspended since that was decided.
+// canOrderNow reports whether an order may be sent now. It is called right before sending,
+// since the instance may have been suspended after the decision.
 func (p *planner) canOrderNow() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/workload/service/worker_list.go
+++ b/workload/service/worker_list.go
@@ -8,11 +8,11 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// How the planner follows the platform's list of workers: an entry at a time, and whole where
-// the list was read anew.
+// How the planner follows the platform's list of workers: entry by entry, or as a whole when
+// the list was read again.
 
-// takePlaces brings the core up to date with where work may begin. It is done before
-// each decision, and again before what was decided goes out.
+// syncWorkers passes the state of evacuations and the worker list to the core. It is called
+// before each decision and again before orders are sent.
 func (p *planner) syncWorkers() {
 	now := p.s.clock.Now()
 	p.core.Evacuate(p.s.evacuations.list(), now)
@@ -30,7 +30,7 @@
 	clear(p.changedListings)
 }
 
-// takeChanged takes over the entries of the list that have changed.
+// syncChangedWorkers passes the changed entries of the list to the core.
 func (p *planner) syncChangedWorkers(now time.Time) {
 	for id := range p.changedListings {
 		if l, ok := p.listings[id]; ok {
@@ -42,7 +42,7 @@
 	p.core.Sweep(now)
 }
 
-// listing is what an entry of the list says.
+// decodedListing is an entry of the list with its decoded content.
 type decodedListing struct {
 	Entry
 	listing control.Listing
@@ -53,29 +53,29 @@
 	if len(e.Value) == 0 {
 		return decodedListing{Entry: e}
 	}
-	of, err := p.s.decoder.Listing(e.Key, e.Value)
-	return decodedListing{e, of, err}
+	decoded, err := p.s.decoder.Listing(e.Key, e.Value)
+	return decodedListing{e, decoded, err}
 }
 
-// listAll takes the whole list in one step: a part of it says nothing of the workers
+// applyList replaces the whole list in one step: a part of it says nothing about the workers
 // that are not in it.
 func (p *planner) applyList(entries []Entry) {
-	read := make([]decodedListing, len(entries))
+	decoded := make([]decodedListing, len(entries))
 	for i, e := range entries {
-		read[i] = p.decodeListing(e)
+		decoded[i] = p.decodeListing(e)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.listings
+	previous := p.listings
 	p.listings = make(map[string]control.Listing, len(entries))
 	p.listReplaced = true
 	p.listInterrupted = true
-	for _, l := range read {
-		p.applyListing(l, before)
+	for _, l := range decoded {
+		p.applyListing(l, previous)
 	}
 }
 
-// listConnection takes it that the connection to the list was lost or regained.
+// reportListConnection records that the connection to the list was lost or restored.
 func (p *planner) reportListConnection(topic Topic, ok bool, cause string) {
 	p.mu.Lock()
 	p.listInterrupted = true
@@ -90,29 +90,29 @@
 	p.applyListing(l, p.listings)
 }
 
-// takeListing takes one entry; before is what was known until then.
-func (p *planner) applyListing(l decodedListing, before map[string]control.Listing) {
+// applyListing applies one entry; previous is the list that was known until then.
+func (p *planner) applyListing(l decodedListing, previous map[string]control.Listing) {
 	p.changedListings[l.Key] = true
 	switch {
 	case len(l.Value) == 0:
 		delete(p.listings, l.Key)
 		delete(p.unreadable, l.Key)
 	case l.err != nil:
-		p.applyUnreadable(l, before)
+		p.applyUnreadable(l, previous)
 	default:
 		delete(p.unreadable, l.Key)
 		p.listings[l.Key] = l.listing
 	}
 }
 
-// mostBad bounds the entries that are noted as bad.
+// maxUnreadable limits the entries that are logged as unreadable.
 const maxUnreadable = 1000
 
-// listBad takes an entry that can't be understood. A worker that was known before gets
-// nothing new, and what runs there is held on at the address that it had; one that was
+// applyUnreadable handles an entry that can't be decoded. A worker that was known before gets
+// no new work, but the leases of its runs are renewed at its last address; a worker that was
 // not known is not used.
-func (p *planner) applyUnreadable(l decodedListing, before map[string]control.Listing) {
-	if known, ok := before[l.Key]; ok {
+func (p *planner) applyUnreadable(l decodedListing, previous map[string]control.Listing) {
+	if known, ok := previous[l.Key]; ok {
 		known.Unreadable = true
 		p.listings[l.Key] = known
 	}
