--- a/workload/service/standby.go
+++ b/workload/service/standby.go
@@ -31,8 +31,8 @@
 	mu sync.Mutex
 	// rank is this instance's rank among the candidates; negative while it is unknown.
 	rank int
-	// heardAt is when the planner was last heard or the log was last unreachable.
-	heardAt time.Time
+	// silentSince is when the last sign of a planner was read or the log was last unreachable.
+	silentSince time.Time
 	// neededAt is when this instance last had a reason to read.
 	neededAt time.Time
 }
@@ -56,7 +56,7 @@
 )
 
 func newStandby(count int, plannerTimeout time.Duration, now time.Time) *standby {
-	return &standby{count: count, plannerTimeout: plannerTimeout, rank: -1, heardAt: now}
+	return &standby{count: count, plannerTimeout: plannerTimeout, rank: -1, silentSince: now}
 }
 
 // activationWave returns the wave in which an instance that is not a standby starts to read.
@@ -74,7 +74,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isStandby := s.rank >= 0 && s.rank < s.count
-	if isStandby || now.Sub(s.heardAt) > s.activationSilence() {
+	if isStandby || now.Sub(s.silentSince) > s.activationSilence() {
 		s.neededAt = now
 	}
 	return !s.neededAt.IsZero() && now.Sub(s.neededAt) < standbyLinger*s.plannerTimeout
@@ -85,18 +85,19 @@
 	return time.Duration((activateAfter + activationWaveInterval*float64(activationWave(s.rank, s.count))) * float64(s.plannerTimeout))
 }
 
-// recordHeard records a sign of life of the planner.
-func (s *standby) recordHeard(now time.Time) {
+// resetSilence restarts the planner's silence, after a sign of it or while the log is not
+// reachable.
+func (s *standby) resetSilence(now time.Time) {
 	s.mu.Lock()
-	s.heardAt = now
+	s.silentSince = now
 	s.mu.Unlock()
 }
 
-// lastHeard returns when the planner was last heard.
-func (s *standby) lastHeard() time.Time {
+// silenceStart returns the start of the planner's silence.
+func (s *standby) silenceStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heardAt
+	return s.silentSince
 }
 
 func (s *standby) setRank(rank int) {
@@ -109,9 +110,9 @@
 // read the plans. If the instance started to read because the states, which it could read all
 // the while, showed no heartbeat, the silence counts from the last one.
 func (s *Service) plannerSilentSince(now time.Time) time.Time {
-	heard := s.standby.lastHeard()
-	if s.states.connected() && now.Sub(heard) > activateAfter*s.settings.Patience {
-		return heard
+	start := s.standby.silenceStart()
+	if s.states.connected() && now.Sub(start) > activateAfter*s.settings.Patience {
+		return start
 	}
 	return now
 }
@@ -128,7 +129,7 @@
 		now := s.clock.Now()
 		if !s.isLogReachable() {
 			// Silence counts only while a heartbeat could be read.
-			s.standby.recordHeard(now)
+			s.standby.resetSilence(now)
 		}
 		needed := s.standby.shouldRead(now)
 		switch {
@@ -148,7 +149,7 @@
 // followPlans starts to follow the topics that a planner needs, and returns a function that
 // stops it.
 func (s *Service) followPlans(ctx context.Context) func() {
-	s.events.Info(events.StandbyBegins, events.Fields{"silent_ms": s.clock.Since(s.standby.lastHeard()).Milliseconds()})
+	s.events.Info(events.StandbyBegins, events.Fields{"silent_ms": s.clock.Since(s.standby.silenceStart()).Milliseconds()})
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	for _, f := range s.planningTopics() {
--- a/workload/service/standby_test.go
+++ b/workload/service/standby_test.go
@@ -45,7 +45,7 @@
 	s.setRank(9)
 	for range 10 {
 		now = now.Add(patience)
-		s.recordHeard(now)
+		s.resetSilence(now)
 		if s.shouldRead(now.Add(patience)) {
 			t.Fatal("reads while a planner is heard")
 		}
@@ -54,12 +54,12 @@
 	if !s.shouldRead(later) {
 		t.Fatal("does not read though no planner is heard")
 	}
-	s.recordHeard(later)
+	s.resetSilence(later)
 	if !s.shouldRead(later.Add(patience)) {
 		t.Fatal("stops reading at the first sign of a planner")
 	}
 	later = later.Add((standbyLinger + 1) * patience)
-	s.recordHeard(later)
+	s.resetSilence(later)
 	if s.shouldRead(later) {
 		t.Fatal("reads on though it is not needed")
 	}
--- a/workload/service/states.go
+++ b/workload/service/states.go
@@ -62,7 +62,7 @@
 		s.logUnreadable(e, err)
 		return
 	}
-	s.standby.recordHeard(s.clock.Now())
+	s.standby.resetSilence(s.clock.Now())
 	s.acceptances.skipTo(heartbeat.Accepted)
 }
 
@@ -130,7 +130,7 @@
 		for _, r := range records[:len(records)-1] {
 			p.s.applyJobRecord(Entry{Key: r.Key, Value: r.Value})
 		}
-		p.s.standby.recordHeard(published)
+		p.s.standby.resetSilence(published)
 	}
 }
 
--- a/workload/service/term_test.go
+++ b/workload/service/term_test.go
@@ -108,7 +108,7 @@
 	b := p.second.standby
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rank, b.neededAt, b.heardAt = place, time.Time{}, time.Now()
+	b.rank, b.neededAt, b.silentSince = place, time.Time{}, time.Now()
 }
 
 // losePlanner ends the first instance.
--- a/workload/service/worker_list.go
+++ b/workload/service/worker_list.go
@@ -57,8 +57,8 @@
 	return decodedListing{e, decoded, err}
 }
 
-// applyList replaces the whole list in one step: a part of it says nothing about the workers
-// that are not in it.
+// applyList replaces the whole list in one step: a worker that is missing from a part of the
+// list may be in another part.
 func (p *planner) applyList(entries []Entry) {
 	decoded := make([]decodedListing, len(entries))
 	for i, e := range entries {
