--- /dev/null
+++ b/workload/service/adaptive_timeout.go
@@ -0,0 +1,43 @@
+package service
+
+import (
+	"sync"
+	"time"
+)
+
+// AnswerTimes derives a timeout from the mean response time, so that an order whose answer was
+// lost is repeated soon and one that is only slow is not.
+type AnswerTimes struct {
+	// Most is the maximum timeout; 0 selects the default, which is meant for workers.
+	Most time.Duration
+
+	mu   sync.Mutex
+	mean time.Duration
+}
+
+const (
+	// timeoutFactor is the multiple of the mean response time that a call may take.
+	timeoutFactor     = 10
+	minTimeout        = 200 * time.Millisecond
+	defaultMaxTimeout = 600 * time.Millisecond
+	// meanWeight is the weight of a new sample in the moving average.
+	meanWeight = 0.1
+)
+
+// Observe records the duration of one call. A call without an answer counts with its timeout.
+func (a *AnswerTimes) Observe(took time.Duration) {
+	a.mu.Lock()
+	a.mean += time.Duration(meanWeight * float64(took-a.mean))
+	a.mu.Unlock()
+}
+
+// Patience returns the time to wait for an answer.
+func (a *AnswerTimes) Patience() time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	limit := a.Most
+	if limit == 0 {
+		limit = defaultMaxTimeout
+	}
+	return min(limit, max(minTimeout, timeoutFactor*a.mean))
+}
