--- a/workload/decide/decide.go
+++ b/workload/decide/decide.go
@@ -1,11 +1,10 @@
-// Package decide chooses which waiting units start on which workers, and which
-// running ones make room for them. Plan is a pure function of its Snapshot: it
-// knows no clock, does no I/O and keeps nothing between calls.
+// Package decide chooses which waiting units start on which workers, and which running groups are
+// stopped to make room for them. Make is a pure function of its Snapshot: it reads no clock, does
+// no I/O and keeps no state between calls.
 //
-// Units pass in an order (order.go). Each is tried on free capacity, then on
-// capacity that is being freed, and, where it may preempt, on capacity that
-// victims hold (preempt.go). A unit that waits for capacity keeps it from the
-// units behind it.
+// Units are placed in a fixed order (order.go). Each is tried on free capacity, then on capacity
+// that is being freed and, if it may preempt, on capacity that victims hold (preempt.go). A unit
+// that waits for capacity reserves it against the units behind it.
 package decide
 
 import (
@@ -14,108 +13,110 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// Worker is one that may be given tasks.
+// Worker is a worker that may be given tasks.
 type Worker struct {
 	ID   string
 	Rack string
 	// Service is the pool that the worker belongs to.
 	Service string
-	// Labels are what the worker carries.
+	// Labels is the set of labels of the worker.
 	Labels map[string]bool
-	// Free is what nothing holds.
+	// Free is the capacity that no task holds.
 	Free workload.Resources
-	// Coming is held by tasks that have been told to stop.
+	// Capacity held by tasks that have been ordered to stop.
 	Coming workload.Resources
-	// Firm is the number of accelerators held by work behind the first priority
-	// whose stop would throw it away.
+	// Number of accelerators held by work below the top priority that would be lost if it were
+	// stopped.
 	Firm int64
-	// Capacity is what the worker has when it is empty.
+	// Capacity is the capacity of the empty worker.
 	Capacity workload.Resources
-	// Speed is the worker's as a factor of the average; 0 is not known.
+	// Speed is the worker's speed relative to the average; 0 if unknown.
 	Speed float64
-	// Closed workers get nothing new: draining, silent or distrusted.
+	// Closed workers get no new tasks, for example because they are draining, silent or
+	// distrusted.
 	Closed bool
-	// Watched is the job whose suspect has just begun there; nothing of others comes beside
-	// it. "" is none.
+	// Job whose suspect has just started on the worker; tasks of other jobs are kept off. Empty if
+	// none.
 	Watched workload.JobID
-	// Unsettled tells that something there has just begun.
+	// Whether a run on the worker has just started.
 	Unsettled bool
-	// Occupant is the only job of which something is there; "" is none, or several.
+	// A job that has a run on the worker, empty if there is none; the only such job unless the
+	// next field is set.
 	Occupant workload.JobID
-	// Shared tells that there is something of several jobs.
+	// Whether several jobs have runs on the worker.
 	Shared bool
-	// Removed workers are closed until operators say otherwise: their room is not part
-	// of the pool, where that of other closed workers is expected back.
+	// Whether the worker is closed until operators say otherwise. Its capacity is not part of the
+	// pool, whereas the capacity of other closed workers is expected back.
 	Removed bool
 }
 
-// UnitKey names a step of an occurrence of a job.
+// UnitKey identifies a step of an occurrence of a job.
 type UnitKey struct {
 	Job  workload.JobID
 	K    int
 	Step int
 }
 
-// Unit is what waits: a whole gang, or the tasks of a step that may start one
-// by one.
+// Unit is work that waits to start: a whole gang, or those tasks of a step that may start one by
+// one.
 type Unit struct {
 	Key  UnitKey
 	Step *workload.Step
 	// Service is the pool whose workers run the queue's tasks.
 	Service string
-	// Indexes are the tasks that are to start.
+	// Indexes are the tasks of the step that are to start.
 	Indexes []int
-	// Beside counts the step's tasks that are on each worker already.
+	// Number of the step's tasks that are already on each worker.
 	Beside map[string]int
-	// Avoid are workers on which the unit's tasks have failed.
+	// Avoid is the set of workers on which the unit's tasks have failed.
 	Avoid map[string]bool
-	// Suspect tells that a worker has crashed under the unit's tasks.
+	// Suspect reports whether a worker has crashed while it ran one of the unit's tasks.
 	Suspect bool
-	// Alone tells that the unit goes only where nothing of other jobs is.
+	// Whether the unit may only run on a worker without runs of other jobs.
 	Alone bool
-	// Priority is the queue's; lower goes first.
+	// Priority is the priority of the queue; lower values go first.
 	Priority int
-	// Guaranteed units are within their account's guarantee.
+	// Guaranteed reports whether the unit is within its account's guarantee.
 	Guaranteed bool
-	// Since is when the unit could first start.
+	// Time from which the unit could have started.
 	Since time.Time
-	// LatestStart is when it has to start to end within its objective.
+	// LatestStart is the latest start with which the unit still ends within its objective.
 	LatestStart time.Time
-	// Worthless is when a start no longer earns anything.
+	// Latest start that still has any value.
 	Worthless time.Time
-	// Run is its expected run time.
+	// Expected run time.
 	Run time.Duration
-	// Allowed bounds the workers to those that may run it; nil allows all.
+	// Allowed restricts the unit to these workers; nil allows all.
 	Allowed map[string]bool
 }
 
-// Group is what runs: a gang's run or one task.
+// Group is running work that starts and stops together: a gang's run or a single task.
 type Group struct {
 	Key   UnitKey
 	Index int
-	// Held is what the group holds, worker by worker; each stands there once.
-	Held []Holding
-	// Priority is its queue's.
+	// What the group holds on each worker; a worker occurs once.
+	Held []Allocation
+	// Priority is the priority of the queue.
 	Priority int
-	// Guaranteed groups are within their account's guarantee.
+	// Guaranteed reports whether the group is within its account's guarantee.
 	Guaranteed bool
-	// Lost is the work that a stop would throw away, in core-seconds.
+	// Work that a stop would throw away, in core-seconds.
 	Lost float64
-	// Left is the time until it is expected to end; 0 is unknown.
+	// Time until the group is expected to end; 0 if unknown.
 	Left time.Duration
-	// Stopping groups have been told to stop.
+	// Stopping reports whether the group has been ordered to stop.
 	Stopping bool
-	// Fixed groups are never stopped for others.
+	// Whether the group must not be stopped for others.
 	Fixed bool
 }
 
-// Holding is what a group holds on one worker.
-type Holding struct {
+// Allocation is what a group holds on one worker.
+type Allocation struct {
 	Worker string
 	workload.Resources
 }
 
-// Add takes more of a worker into account.
+// Add adds resources that the group holds on a worker.
 func (g *Group) Add(worker string, more workload.Resources) {
 	for i := range g.Held {
 		if g.Held[i].Worker == worker {
@@ -123,32 +124,30 @@
 			return
 		}
 	}
-	g.Held = append(g.Held, Holding{worker, more})
+	g.Held = append(g.Held, Allocation{worker, more})
 }
 
-// Snapshot is all that a plan depends on.
+// Snapshot is the complete input of a plan.
 type Snapshot struct {
 	Now     time.Time
 	Workers []Worker
 	Waiting []Unit
 	Running []Group
-	// Headroom is the number of accelerators that the first priority is expected
-	// to need at once.
+	// Headroom is the number of accelerators that top-priority work is expected to need at once.
 	Headroom int64
-	// Quiet tells that nothing new has come for long. What is held back for what may
-	// come is then held back for nothing.
+	// Whether no new work has arrived for a long time. Capacity that is held back for expected
+	// arrivals is then wasted.
 	Quiet bool
-	// Hurried is the share of the first priority's units that have less time to
-	// start than a stop takes.
+	// Share of the top-priority units that have less time left to start than a stop takes.
 	Hurried float64
-	// ReclaimWithin is the time in which guaranteed work has to begin.
+	// ReclaimWithin is the time within which guaranteed work has to start.
 	ReclaimWithin time.Duration
-	// StopTimeout is the longest that a stop takes.
+	// StopTimeout is the longest time that a stop takes.
 	StopTimeout time.Duration
-	// FarFactor is how many times as long a task takes away from its data, or in
-	// a gang that spans racks against its wish; 0 is as long.
+	// Factor by which a task runs longer away from its data, or in a gang that spans racks
+	// although it prefers one; 0 means no longer.
 	FarFactor float64
-	// Without are mechanisms that are switched off.
+	// Mechanisms that are disabled.
 	Without Without
 }
 
@@ -157,53 +156,53 @@
 	Unit   int
 	Index  int
 	Worker string
-	// Far tells that the task runs away from its data or its gang's rack.
+	// Whether the task runs outside the rack of its data or of its gang.
 	Far bool
 }
 
-// Reason is why a unit does not start now; a stable code.
+// Reason is a stable code for why a unit does not start now.
 type Reason string
 
 // The reasons for which a unit waits.
 const (
-	NoRoom       Reason = "no-room"
+	NoCapacity   Reason = "no-room"
 	NoRack       Reason = "no-rack"
 	WaitsForStop Reason = "waits-for-stop"
 	NoWorker     Reason = "no-worker"
-	// WaitsForAdvice: it is not known yet which workers the queue's policy allows.
+	// WaitsForAdvice means that the workers which the queue's policy allows are not known yet.
 	WaitsForAdvice Reason = "waits-for-advice"
-	// PoolUnsettled: several workers have crashed under the unit, and many without it just now.
+	// PoolUnsettled means that several workers have crashed under the unit, and that many others
+	// have crashed without it just now.
 	PoolUnsettled Reason = "pool-unsettled"
 )
 
-// Held is a unit that waits.
+// Held is a unit that waits, with the reason.
 type Held struct {
 	Unit   int
 	Reason Reason
 }
 
-// Plan is the decision.
+// Plan is the result of Make.
 type Plan struct {
 	Starts []Assignment
-	// Stops are indexes of Running.
+	// Stops are indexes into Snapshot.Running.
 	Stops []int
 	Held  []Held
 	Load  Load
 }
 
-// Load is what the pool looked like to the plan.
+// Load describes the state of the pool that the plan was made for.
 type Load struct {
-	// Used is the share of all accelerators or processors that is in use, whichever
-	// is more, closed workers counted.
+	// Share of the accelerators or of the processors in use, whichever is larger, closed workers
+	// included.
 	Used float64
-	// Idle tells that nothing is held back for a better place for long.
+	// Whether so much capacity is free that units wait only briefly for a better place.
 	Idle bool
-	// Kept is the number of racks that are kept clear, Closed that of workers that
-	// get nothing new.
+	// Numbers of racks that are reserved and of workers that get no new tasks.
 	Kept, Closed int
 }
 
-// Make decides.
+// Make plans which units start and which groups stop.
 func Make(s *Snapshot) Plan {
 	p := newPlanner(s)
 	for _, i := range order(s) {
@@ -213,107 +212,106 @@
 }
 
 type planner struct {
-	s        *Snapshot
-	plan     Plan
-	workers  []*slot
-	racks    map[string][]*slot
-	rackList []string
-	// paced are the workers, and those of each rack, by pace.
-	paced      map[pace][]*slot
-	pacedRacks map[pace]map[string][]*slot
-	// idle tells that most room is free.
-	idle    bool
-	stopped map[int]bool
-	// keptOff tells that kept racks are closed to the unit that is placed.
-	keptOff bool
-	// free and coming bound what is free and what is being freed, empty what an
-	// empty pool has.
-	free, coming, empty bounds
-	// holders is made when the first unit looks for room to free.
-	holders *holders
+	snapshot  *Snapshot
+	plan      Plan
+	workers   []*workerState
+	racks     map[string][]*workerState
+	rackNames []string
+	// byClass and racksByClass hold the workers, and those of each rack, by speed class.
+	byClass      map[speedClass][]*workerState
+	racksByClass map[speedClass]map[string][]*workerState
+	// underused reports whether most capacity is free.
+	underused bool
+	stopped   map[int]bool
+	// skipsReserved reports whether the unit being placed may not use reserved racks.
+	skipsReserved bool
+	// Upper bounds on what fits in free capacity, in capacity being freed and in an empty pool.
+	freeLimits, freeingLimits, totalLimits fitLimits
+	// groups is built when the first unit looks for victims.
+	groups *groupIndex
 }
 
-// slot is a worker with what is left of it in this plan.
-type slot struct {
+// workerState is a worker with the capacity that is left of it in this plan.
+type workerState struct {
 	*Worker
-	// index is the slot's place among the planner's workers.
-	index  int
-	free   workload.Resources
-	coming workload.Resources
-	// These are the worker's, with what this plan begins there.
-	watched, occupant workload.JobID
-	unsettled, shared bool
-	// kept tells that its rack is for the first priority, and for work that can be
-	// taken back without loss.
-	kept bool
-	// site is what the search under way has of the worker; nil if it has nothing.
-	site *site
+	// index is the worker's index in planner.workers.
+	index   int
+	free    workload.Resources
+	freeing workload.Resources
+	// Taken from the Worker and updated with what this plan starts there.
+	suspectJob, runningJob         workload.JobID
+	hasRecentStart, hasSeveralJobs bool
+	// reserved reports whether the worker's rack is reserved for top-priority work and for work
+	// that can be stopped without loss.
+	reserved bool
+	// candidate is the worker's entry in the current victim search; nil if it is not part of one.
+	candidate *candidate
 }
 
 func newPlanner(s *Snapshot) *planner {
-	p := &planner{s: s, racks: map[string][]*slot{}, stopped: map[int]bool{}, free: bounds{}, coming: bounds{}, empty: bounds{}}
-	slots := make([]slot, len(s.Workers))
-	p.workers = make([]*slot, 0, len(s.Workers))
+	p := &planner{snapshot: s, racks: map[string][]*workerState{}, stopped: map[int]bool{}, freeLimits: fitLimits{}, freeingLimits: fitLimits{}, totalLimits: fitLimits{}}
+	states := make([]workerState, len(s.Workers))
+	p.workers = make([]*workerState, 0, len(s.Workers))
 	for i := range s.Workers {
 		w := &s.Workers[i]
 		if w.Closed {
 			p.plan.Load.Closed++
 			continue
 		}
-		one := &slots[i]
-		*one = slot{Worker: w, index: len(p.workers), free: w.Free, coming: w.Coming, watched: w.Watched, unsettled: w.Unsettled, occupant: w.Occupant, shared: w.Shared}
-		p.workers = append(p.workers, one)
+		state := &states[i]
+		*state = workerState{Worker: w, index: len(p.workers), free: w.Free, freeing: w.Coming, suspectJob: w.Watched, hasRecentStart: w.Unsettled, runningJob: w.Occupant, hasSeveralJobs: w.Shared}
+		p.workers = append(p.workers, state)
 		if len(p.racks[w.Rack]) == 0 && w.Rack != "" {
-			// Workers whose rack is not known are not in one.
-			p.rackList = append(p.rackList, w.Rack)
+			// Workers whose rack is unknown do not form a rack.
+			p.rackNames = append(p.rackNames, w.Rack)
 		}
-		p.racks[w.Rack] = append(p.racks[w.Rack], one)
+		p.racks[w.Rack] = append(p.racks[w.Rack], state)
 	}
-	p.sortByPace()
-	least, most := used(s.Workers, false)
+	p.groupBySpeed()
+	least, most := utilization(s.Workers, false)
 	p.plan.Load.Used = most
-	p.idle = most < busyShare || (s.Quiet && least < busyShare) || mostlyForgotten(s.Workers)
-	p.plan.Load.Idle = p.idle
-	p.plan.Load.Kept = p.keepRacks()
+	p.underused = most < busyShare || (s.Quiet && least < busyShare) || mostlyIdle(s.Workers)
+	p.plan.Load.Idle = p.underused
+	p.plan.Load.Kept = p.reserveRacks()
 	return p
 }
 
-// busyShare is the share of the accelerators or processors in use from which on
-// work is held back for a better place. It lies above the half at which holding
-// back for seconds counts as forgetting.
+// busyShare is the share of the accelerators or processors in use from which on work is held back
+// for a better place. It lies above starvationShare, below which holding work back for seconds
+// counts as starvation.
 const busyShare = 0.6
 
-// used is the share of all workers' room that is in use. Those that are closed
-// count: while a data centre is cut off the others are fuller, but most room is
-// free all the same, and what is held back for a better place may wait for it in
-// vain. Work that needs many processors and few accelerators leaves the one full
-// and the other free: least and most tell both.
+// utilization returns the shares of the accelerators and of the processors in use, as the smaller
+// and the larger of the two. Closed workers count: while a data centre is unreachable the other
+// workers are fuller, but most capacity is still free, and work that is held back for a better
+// place may wait for it in vain. Both shares are returned because work that needs many processors
+// and few accelerators fills the former and leaves the latter free.
 //
-// Removed workers count only where that is asked for: while operators evacuate a third
-// of the pool, the rest is what work can wait for.
-func used(workers []Worker, removed bool) (least, most float64) {
-	var have, free workload.Resources
+// Evacuated workers count only on request: while operators evacuate a third of the pool, work can
+// only wait for the rest.
+func utilization(workers []Worker, countEvacuated bool) (least, most float64) {
+	var capacity, free workload.Resources
 	for i := range workers {
-		if workers[i].Removed && !removed {
+		if workers[i].Removed && !countEvacuated {
 			continue
 		}
-		have = have.Add(workers[i].Capacity)
+		capacity = capacity.Add(workers[i].Capacity)
 		free = free.Add(workers[i].Free)
 	}
-	a := share(have.Accelerators-free.Accelerators, have.Accelerators)
-	b := share(have.MilliCPU-free.MilliCPU, have.MilliCPU)
-	return min(a, b), max(a, b)
+	accelerators := share(capacity.Accelerators-free.Accelerators, capacity.Accelerators)
+	cpu := share(capacity.MilliCPU-free.MilliCPU, capacity.MilliCPU)
+	return min(accelerators, cpu), max(accelerators, cpu)
 }
 
-// forgottenShare is the share of all room in use, removed workers counted, below which
-// a job that waits for seconds counts as forgotten.
-const forgottenShare = 0.5
+// starvationShare is the share of all capacity in use, evacuated workers included, below which a
+// job that waits for seconds counts as starved.
+const starvationShare = 0.5
 
-// mostlyForgotten tells whether so little of all room is in use that nothing may wait
-// long, although what is left of the pool may be busy.
-func mostlyForgotten(workers []Worker) bool {
-	_, most := used(workers, true)
-	return most < forgottenShare
+// mostlyIdle reports whether so little of all capacity is in use that no unit may wait for long,
+// even if the part of the pool that is not evacuated is busy.
+func mostlyIdle(workers []Worker) bool {
+	_, most := utilization(workers, true)
+	return most < starvationShare
 }
 
 func share(part, whole int64) float64 {
@@ -323,45 +321,43 @@
 	return float64(part) / float64(whole)
 }
 
-// idleWait is the longest that a unit waits for a better place while most room
-// is free.
-const idleWait = time.Second
+// maxUnderusedWait is the longest time that a unit waits for a better place while most capacity is
+// free.
+const maxUnderusedWait = time.Second
 
-// mayWait tells whether the unit may wait for a better place: while there is
-// room elsewhere it does not for long, and guaranteed work has to begin.
-func (p *planner) mayWait(u *Unit) bool {
-	waited := p.s.Now.Sub(u.Since)
-	if p.idle && waited > idleWait {
+// canWait reports whether the unit may wait for a better place. It may not for long while there is
+// free capacity elsewhere, and guaranteed work has to start in time.
+func (p *planner) canWait(u *Unit) bool {
+	waited := p.snapshot.Now.Sub(u.Since)
+	if p.underused && waited > maxUnderusedWait {
 		return false
 	}
-	return !u.Guaranteed || waited <= p.guaranteedWait()
+	return !u.Guaranteed || waited <= p.maxGuaranteedWait()
 }
 
-// guaranteedWait is how long guaranteed work may wait for a better place: what
-// is left then is enough to stop others anywhere.
-func (p *planner) guaranteedWait() time.Duration {
-	return p.s.ReclaimWithin - p.s.StopTimeout - 2*stopMargin
+// maxGuaranteedWait is how long guaranteed work may wait for a better place so that enough time is
+// left to preempt others anywhere.
+func (p *planner) maxGuaranteedWait() time.Duration {
+	return p.snapshot.ReclaimWithin - p.snapshot.StopTimeout - 2*stopOverhead
 }
 
-// inTime tells whether the unit still ends within its objective if it starts
-// later.
-func (p *planner) inTime(u *Unit) bool { return p.s.Now.Before(u.LatestStart) }
+// isInTime reports whether the unit still ends within its objective if it starts later.
+func (p *planner) isInTime(u *Unit) bool { return p.snapshot.Now.Before(u.LatestStart) }
 
-// waitsNear tells whether the unit waits for a place near its data, or in one
-// rack, rather than start far from it at once. Beyond its time it waits for as
-// long as a start far away would cost it: then it has lost at most twice what
-// it had to.
-func (p *planner) waitsNear(u *Unit) bool {
-	if p.s.Without[WaitNear] {
+// waitsForLocality reports whether the unit waits for a place near its data or in one rack instead
+// of starting remotely at once. After its latest start it waits for as long as a remote start
+// would cost it, so that it loses at most twice the unavoidable time.
+func (p *planner) waitsForLocality(u *Unit) bool {
+	if p.snapshot.Without[WaitNear] {
 		return false
 	}
-	cost := time.Duration(max(0, p.s.FarFactor-1) * float64(u.Run))
-	return p.mayWait(u) && p.s.Now.Before(u.LatestStart.Add(cost))
+	cost := time.Duration(max(0, p.snapshot.FarFactor-1) * float64(u.Run))
+	return p.canWait(u) && p.snapshot.Now.Before(u.LatestStart.Add(cost))
 }
 
 func (p *planner) place(i int) {
-	u := &p.s.Waiting[i]
-	p.keptOff = p.keepsOff(u)
+	u := &p.snapshot.Waiting[i]
+	p.skipsReserved = p.avoidsReserved(u)
 	if u.Step.Gang {
 		p.placeGang(i, u)
 		return
@@ -369,15 +365,15 @@
 	p.placeSingles(i, u)
 }
 
-// take holds room for a task; it may leave free below zero where the room is
-// still coming, which keeps others off.
-func (w *slot) take(need workload.Resources) { w.free = w.free.Sub(need) }
+// allocate takes capacity for a task. Free capacity becomes negative where the task waits for
+// capacity that is still being freed, which keeps other units off.
+func (w *workerState) allocate(need workload.Resources) { w.free = w.free.Sub(need) }
 
-func (p *planner) start(unit, index int, w *slot, far bool) {
-	p.plan.Starts = append(p.plan.Starts, Assignment{Unit: unit, Index: index, Worker: w.ID, Far: far})
-	w.begins(&p.s.Waiting[unit])
+func (p *planner) assign(unit, index int, w *workerState, remote bool) {
+	p.plan.Starts = append(p.plan.Starts, Assignment{Unit: unit, Index: index, Worker: w.ID, Far: remote})
+	w.recordStart(&p.snapshot.Waiting[unit])
 }
 
-func (p *planner) hold(unit int, reason Reason) {
+func (p *planner) deferUnit(unit int, reason Reason) {
 	p.plan.Held = append(p.plan.Held, Held{Unit: unit, Reason: reason})
 }
--- a/workload/decide/decide_test.go
+++ b/workload/decide/decide_test.go
@@ -14,7 +14,8 @@
 
 func gpus(n int64) workload.Resources { return workload.Resources{Accelerators: n} }
 
-// racks makes workers r1w1, r1w2, ... of 8 accelerators, with what is free.
+// racks makes workers a0, a1, ... in rack a, b0, b1, ... in rack b and so on, each with 8
+// accelerators of which the given numbers are free.
 func racks(free ...[]int64) []Worker {
 	var out []Worker
 	for r, workers := range free {
@@ -55,32 +56,32 @@
 	return out
 }
 
-func TestAGangStartsWholeOrNotAtAll(t *testing.T) {
+func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 4}), Waiting: []Unit{gang(4, 4, false)}}
 	p := Make(s)
-	if len(p.Starts) != 0 || len(p.Held) != 1 || p.Held[0].Reason != NoRoom {
+	if len(p.Starts) != 0 || len(p.Held) != 1 || p.Held[0].Reason != NoCapacity {
 		t.Fatalf("%+v", p)
 	}
 }
 
-func TestAGangThatWantsOneRackTakesTheOneWithTheLeastToSpare(t *testing.T) {
+func TestSameRackGangTakesTheTightestRack(t *testing.T) {
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 8}, []int64{4, 4}), Waiting: []Unit{gang(2, 4, true)}}
 	for _, w := range workersOf(Make(s)) {
 		if w[0] != 'b' {
-			t.Fatalf("started on %s", w)
+			t.Fatalf("a task started on %s", w)
 		}
 	}
 }
 
-func TestAGangThatWantsOneRackWaitsForItWhileThereIsTime(t *testing.T) {
+func TestSameRackGangWaitsForARackUntilItIsLate(t *testing.T) {
 	u := gang(2, 8, true)
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 0}, []int64{8, 0}), Waiting: []Unit{u}}
 	if p := Make(s); len(p.Starts) != 0 {
-		t.Fatalf("spans racks although it could wait: %+v", p)
+		t.Fatalf("the gang spans racks although it could wait: %+v", p)
 	}
 	s.Waiting[0].LatestStart = now.Add(-time.Second)
 	if p := Make(s); len(p.Starts) != 2 || !p.Starts[0].Far {
-		t.Fatalf("does not span racks although it is late: %+v", p)
+		t.Fatalf("the gang does not span racks although it is late: %+v", p)
 	}
 }
 
@@ -91,7 +92,7 @@
 	}
 }
 
-func TestConstraintsOfWorkersAreKept(t *testing.T) {
+func TestPlacementRespectsWorkerConstraints(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Snapshot)
 		want   []string
@@ -116,7 +117,7 @@
 	}
 }
 
-func TestGuaranteedWorkStopsTheCheapestBorrowersAndKeepsTheirRoom(t *testing.T) {
+func TestGuaranteedWorkPreemptsTheCheapestBorrowersAndReservesTheirCapacity(t *testing.T) {
 	urgent := gang(2, 8, true)
 	urgent.Guaranteed = true
 	later := singles(4, 1)
@@ -125,30 +126,30 @@
 	s := &Snapshot{
 		Now: now, Workers: racks([]int64{0, 0}, []int64{0, 0}), Waiting: []Unit{later, urgent},
 		Running: []Group{
-			{Key: UnitKey{Job: "dear"}, Priority: 1, Lost: 900, Held: []Holding{{"a0", gpus(8)}, {"a1", gpus(8)}}},
-			{Key: UnitKey{Job: "cheap"}, Priority: 2, Lost: 10, Held: []Holding{{"b0", gpus(8)}, {"b1", gpus(8)}}},
+			{Key: UnitKey{Job: "dear"}, Priority: 1, Lost: 900, Held: []Allocation{{"a0", gpus(8)}, {"a1", gpus(8)}}},
+			{Key: UnitKey{Job: "cheap"}, Priority: 2, Lost: 10, Held: []Allocation{{"b0", gpus(8)}, {"b1", gpus(8)}}},
 		},
 	}
 	p := Make(s)
 	if len(p.Stops) != 1 || s.Running[p.Stops[0]].Key.Job != "cheap" || len(p.Starts) != 0 {
 		t.Fatalf("%+v", p)
 	}
-	// While the stop is under way the room is kept, and nothing else is stopped.
+	// While the stop is in progress its capacity stays reserved, and nothing else is stopped.
 	s.Running[1].Stopping = true
 	s.Workers[2].Coming, s.Workers[3].Coming = gpus(8), gpus(8)
 	if p = Make(s); len(p.Stops) != 0 || len(p.Starts) != 0 {
-		t.Fatalf("again: %+v", p)
+		t.Fatalf("while the stop is in progress: %+v", p)
 	}
-	// Once it is free, the gang has it and the others do not.
+	// Once the capacity is free, the gang gets it and the later unit does not.
 	s.Running = s.Running[:1]
 	s.Workers[2].Free, s.Workers[3].Free = gpus(8), gpus(8)
 	s.Workers[2].Coming, s.Workers[3].Coming = gpus(0), gpus(0)
 	if p = Make(s); len(p.Starts) != 2 || p.Starts[0].Unit != 1 {
-		t.Fatalf("at last: %+v", p)
+		t.Fatalf("after the stop: %+v", p)
 	}
 }
 
-func TestWorkBeyondTheGuaranteeStopsOnlyWhatLosesLess(t *testing.T) {
+func TestWorkBeyondTheGuaranteePreemptsOnlyWhatLosesLess(t *testing.T) {
 	for name, c := range map[string]struct {
 		lost     float64
 		priority int
@@ -167,7 +168,7 @@
 			if c.late {
 				u.LatestStart = now.Add(-time.Second)
 			}
-			s := &Snapshot{Now: now, Workers: racks([]int64{0}), Waiting: []Unit{u}, Running: []Group{{Key: UnitKey{Job: "x"}, Priority: 2, Lost: c.lost, Held: []Holding{{"a0", gpus(8)}}}}}
+			s := &Snapshot{Now: now, Workers: racks([]int64{0}), Waiting: []Unit{u}, Running: []Group{{Key: UnitKey{Job: "x"}, Priority: 2, Lost: c.lost, Held: []Allocation{{"a0", gpus(8)}}}}}
 			if p := Make(s); len(p.Stops) != c.stops {
 				t.Fatalf("%+v", p)
 			}
@@ -175,9 +176,9 @@
 	}
 }
 
-// Whatever waits and runs, no worker is given more than it has, no gang is
-// given in part, and the same snapshot gives the same plan.
-func TestPlansKeepCapacityAndGangsWhole(t *testing.T) {
+// No worker is given more than it has free, no gang is placed in part, and only groups that may be
+// preempted are stopped.
+func TestPlansRespectCapacityAndNeverSplitGangs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
 		p := Make(s)
@@ -189,18 +190,18 @@
 		}
 		for _, w := range s.Workers {
 			if used[w.ID] > w.Free.Accelerators {
-				t.Fatalf("%s is given %d of %d", w.ID, used[w.ID], w.Free.Accelerators)
+				t.Fatalf("worker %s is given %d accelerators and has %d free", w.ID, used[w.ID], w.Free.Accelerators)
 			}
 		}
 		for i, n := range per {
 			if s.Waiting[i].Step.Gang && n != len(s.Waiting[i].Indexes) {
-				t.Fatalf("gang %d is given %d of %d", i, n, len(s.Waiting[i].Indexes))
+				t.Fatalf("%[2]d of %[3]d tasks of gang %[1]d are started", i, n, len(s.Waiting[i].Indexes))
 			}
 		}
 		guaranteed := slices.ContainsFunc(s.Waiting, func(u Unit) bool { return u.Guaranteed })
 		for _, v := range p.Stops {
 			if s.Running[v].Guaranteed || s.Running[v].Stopping || (s.Running[v].Priority == 0 && !guaranteed) {
-				t.Fatalf("stops %+v", s.Running[v])
+				t.Fatalf("the plan stops %+v", s.Running[v])
 			}
 		}
 	})
@@ -216,7 +217,7 @@
 			held := rapid.Int64Range(0, 8).Draw(t, "held")
 			w.Free = gpus(8 - held)
 			if held > 0 {
-				g := Group{Key: UnitKey{Job: workload.JobID(w.ID)}, Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Held: []Holding{{w.ID, gpus(held)}}, Lost: float64(held)}
+				g := Group{Key: UnitKey{Job: workload.JobID(w.ID)}, Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Held: []Allocation{{w.ID, gpus(held)}}, Lost: float64(held)}
 				g.Guaranteed = rapid.Bool().Draw(t, "guaranteed")
 				if rapid.Bool().Draw(t, "stopping") {
 					g.Stopping = true
@@ -239,22 +240,22 @@
 	return s
 }
 
-// While most room is free nothing waits for long for a better place.
-func TestWorkIsNotHeldBackWhileMostRoomIsFree(t *testing.T) {
+// While most capacity is free no unit waits long for a better place.
+func TestWorkIsNotDeferredWhileMostCapacityIsFree(t *testing.T) {
 	rack := gang(2, 8, true)
 	rack.Priority = 1
 	data := singles(2, 8)
 	data.Priority = 1
 	data.Step.DataRack = "b"
-	firm := gang(2, 8, false)
-	firm.Priority = 1
+	nonCheckpointed := gang(2, 8, false)
+	nonCheckpointed.Priority = 1
 	for name, c := range map[string]struct {
 		unit     Unit
 		headroom int64
 	}{
-		"waits for a rack":          {rack, 0},
+		"waits for one rack":        {rack, 0},
 		"waits for the data's rack": {data, 0},
-		"kept from all racks":       {firm, 1000},
+		"all racks are reserved":    {nonCheckpointed, 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.unit.Since = now.Add(-2 * time.Second)
@@ -269,14 +270,14 @@
 	}
 }
 
-// Guaranteed work need not be a gang: a single task that fills a worker has to
-// be given one as well.
-func TestGuaranteedTasksThatAreNoGangStopBorrowersToo(t *testing.T) {
+// Guaranteed work that is no gang has to be able to preempt as well: here a single task that fills
+// a worker.
+func TestGuaranteedSingleTasksPreemptBorrowers(t *testing.T) {
 	u := singles(2, 8)
 	u.Guaranteed = true
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 4, 4}), Waiting: []Unit{u}, Running: []Group{
-		{Key: UnitKey{Job: "dear"}, Priority: 1, Lost: 900, Held: []Holding{{"a1", gpus(4)}}},
-		{Key: UnitKey{Job: "cheap"}, Priority: 1, Lost: 10, Held: []Holding{{"a2", gpus(4)}}},
+		{Key: UnitKey{Job: "dear"}, Priority: 1, Lost: 900, Held: []Allocation{{"a1", gpus(4)}}},
+		{Key: UnitKey{Job: "cheap"}, Priority: 1, Lost: 10, Held: []Allocation{{"a2", gpus(4)}}},
 	}}
 	p := Make(s)
 	if len(p.Starts) != 1 || len(p.Stops) != 1 || s.Running[p.Stops[0]].Key.Job != "cheap" {
@@ -284,7 +285,7 @@
 	}
 }
 
-func TestGuaranteedWorkDoesNotWaitForItsDatasRackBeyondItsTime(t *testing.T) {
+func TestGuaranteedWorkDoesNotWaitForItsDataRackBeyondReclaimTime(t *testing.T) {
 	u := singles(1, 8)
 	u.Guaranteed = true
 	u.Step.DataRack = "b"
@@ -296,9 +297,9 @@
 	}
 }
 
-// Beyond its time a gang waits for one rack as long as spanning racks would
-// cost it, and no longer.
-func TestAGangThatIsLateSpansRacksOnceWaitingHasCostAsMuch(t *testing.T) {
+// After its latest start a gang waits for one rack for as long as spanning racks would cost it,
+// and no longer.
+func TestLateGangSpansRacksOnceWaitingHasCostAsMuch(t *testing.T) {
 	u := gang(2, 8, true)
 	u.Priority = 1
 	u.Run = 4 * time.Second
@@ -310,25 +311,25 @@
 		u.Since = now.Add(-time.Minute)
 		s := &Snapshot{Now: now, Workers: racks([]int64{8, 0, 0}, []int64{8, 0, 0}), Waiting: []Unit{u}, FarFactor: 3}
 		if p := Make(s); len(p.Starts) != c.starts {
-			t.Errorf("%v late: %+v", c.late, p)
+			t.Errorf("%v after the latest start: %+v", c.late, p)
 		}
 	}
 }
 
-func TestOnlyGuaranteedWorkStopsBorrowersOfItsOwnPriority(t *testing.T) {
+func TestOnlyGuaranteedWorkPreemptsBorrowersOfItsOwnPriority(t *testing.T) {
 	for name, c := range map[string]struct {
 		waits, runs bool
 		stops       int
 	}{
-		"guaranteed work stops a borrower":              {true, false, 1},
-		"a borrower does not stop a borrower":           {false, false, 0},
-		"guaranteed work does not stop guaranteed work": {true, true, 0},
+		"guaranteed work preempts a borrower":              {true, false, 1},
+		"a borrower does not preempt a borrower":           {false, false, 0},
+		"guaranteed work does not preempt guaranteed work": {true, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := gang(2, 8, false)
 			u.Guaranteed = c.waits
 			s := &Snapshot{Now: now, Workers: racks([]int64{0, 0}), Waiting: []Unit{u}, Running: []Group{
-				{Key: UnitKey{Job: "runs"}, Guaranteed: c.runs, Lost: 1, Held: []Holding{{"a0", gpus(8)}, {"a1", gpus(8)}}},
+				{Key: UnitKey{Job: "runs"}, Guaranteed: c.runs, Lost: 1, Held: []Allocation{{"a0", gpus(8)}, {"a1", gpus(8)}}},
 			}}
 			if p := Make(s); len(p.Stops) != c.stops {
 				t.Fatalf("%+v", p)
@@ -337,23 +338,23 @@
 	}
 }
 
-func TestBorrowersOfTheSamePriorityAreStoppedLast(t *testing.T) {
+func TestBorrowersOfTheSamePriorityArePreemptedLast(t *testing.T) {
 	u := gang(1, 8, false)
 	u.Guaranteed = true
 	s := &Snapshot{Now: now, Workers: racks([]int64{0, 0}), Waiting: []Unit{u}, Running: []Group{
-		{Key: UnitKey{Job: "young"}, Lost: 1, Held: []Holding{{"a0", gpus(8)}}},
-		{Key: UnitKey{Job: "later"}, Priority: 1, Lost: 900, Held: []Holding{{"a1", gpus(8)}}},
+		{Key: UnitKey{Job: "young"}, Lost: 1, Held: []Allocation{{"a0", gpus(8)}}},
+		{Key: UnitKey{Job: "later"}, Priority: 1, Lost: 900, Held: []Allocation{{"a1", gpus(8)}}},
 	}}
 	if p := Make(s); len(p.Stops) != 1 || s.Running[p.Stops[0]].Key.Job != "later" {
 		t.Fatalf("%+v", p)
 	}
 }
 
-func TestRoomIsMadeOnTheWorkerWhereThatLosesTheLeastInAll(t *testing.T) {
+func TestPreemptionLosesTheLeastWorkInTotal(t *testing.T) {
 	u := gang(1, 8, false)
 	u.Guaranteed = true
 	half := func(id workload.JobID, worker string, lost float64) Group {
-		return Group{Key: UnitKey{Job: id}, Priority: 1, Lost: lost, Held: []Holding{{worker, gpus(4)}}}
+		return Group{Key: UnitKey{Job: id}, Priority: 1, Lost: lost, Held: []Allocation{{worker, gpus(4)}}}
 	}
 	s := &Snapshot{Now: now, Workers: racks([]int64{0, 0}), Waiting: []Unit{u}, Running: []Group{
 		half("a", "a0", 10), half("b", "a0", 60), half("c", "a1", 20), half("d", "a1", 55),
@@ -363,6 +364,6 @@
 		stopped[s.Running[v].Key.Job] = true
 	}
 	if len(stopped) != 2 || !stopped["a"] || !stopped["b"] {
-		t.Fatalf("stops %v, which is not the least", stopped)
+		t.Fatalf("the plan stops %v, not the groups that lose the least", stopped)
 	}
 }
--- a/workload/decide/bounds_test.go
+++ b/workload/decide/fitlimits_test.go
@@ -48,25 +48,25 @@
 	return s
 }
 
-// What is remembered of units that found no room decides nothing: a plan that
-// looks everywhere for each unit is the same.
-func TestWhatFoundNoRoomIsOnlyRememberedNotDecided(t *testing.T) {
+// The cached limits must not change a decision: a plan that searches anew for each unit is the
+// same.
+func TestFitLimitsDoNotChangeThePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawCrowded(t)
-		with := Make(s)
+		withLimits := Make(s)
 		p := newPlanner(s)
 		for _, i := range order(s) {
-			p.free, p.coming, p.empty = bounds{}, bounds{}, bounds{}
+			p.freeLimits, p.freeingLimits, p.totalLimits = fitLimits{}, fitLimits{}, fitLimits{}
 			p.place(i)
 		}
-		if !reflect.DeepEqual(with, p.plan) {
-			t.Fatalf("remembered: %+v\nlooked for: %+v", with, p.plan)
+		if !reflect.DeepEqual(withLimits, p.plan) {
+			t.Fatalf("with cached limits: %+v\nwithout: %+v", withLimits, p.plan)
 		}
 	})
 }
 
-// An assignment never takes more than is free, whatever was remembered.
-func TestACrowdedPoolIsNeverOverbooked(t *testing.T) {
+// No worker is given more than it has free, whatever limits were cached.
+func TestCrowdedPoolIsNeverOverbooked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawCrowded(t)
 		free := map[string]workload.Resources{}
@@ -76,7 +76,7 @@
 		for _, a := range Make(s).Starts {
 			free[a.Worker] = free[a.Worker].Sub(s.Waiting[a.Unit].Step.Counted())
 			if !(workload.Resources{}).Fits(free[a.Worker]) {
-				t.Fatalf("%s is overbooked", a.Worker)
+				t.Fatalf("worker %s is overbooked", a.Worker)
 			}
 		}
 	})
--- a/workload/decide/headroom.go
+++ b/workload/decide/headroom.go
@@ -2,55 +2,55 @@
 
 import "sort"
 
-// keepRacks chooses the racks that are kept clear of firm work: those that have
-// the least of it, until they could hold what the first priority is expected to
-// need. A stop throws firm work away, so that where it has no place nothing is
-// lost when the first priority comes. It returns how many it chose.
-func (p *planner) keepRacks() int {
-	firm := map[string]int64{}
-	size := map[string]int64{}
+// reserveRacks chooses the racks that are reserved: those with the least non-checkpointed work,
+// until they could hold the accelerators that top-priority work is expected to need. Stopping
+// non-checkpointed work throws it away, so that preemption loses nothing in racks without it. It
+// returns the number of racks chosen.
+func (p *planner) reserveRacks() int {
+	nonCheckpointed := map[string]int64{}
+	capacity := map[string]int64{}
 	for _, w := range p.workers {
-		firm[w.Rack] += w.Firm
-		size[w.Rack] += w.Capacity.Accelerators
+		nonCheckpointed[w.Rack] += w.Firm
+		capacity[w.Rack] += w.Capacity.Accelerators
 	}
-	racks := append([]string(nil), p.rackList...)
-	sort.SliceStable(racks, func(a, b int) bool { return firm[racks[a]] < firm[racks[b]] })
-	if p.s.Without[ClearRacks] {
+	racks := append([]string(nil), p.rackNames...)
+	sort.SliceStable(racks, func(a, b int) bool { return nonCheckpointed[racks[a]] < nonCheckpointed[racks[b]] })
+	if p.snapshot.Without[ClearRacks] {
 		return 0
 	}
-	kept := 0
-	room := int64(0)
+	count := 0
+	available := int64(0)
 	for _, rack := range racks {
-		if room >= p.s.Headroom {
+		if available >= p.snapshot.Headroom {
 			break
 		}
-		kept++
+		count++
 		for _, w := range p.racks[rack] {
-			w.kept = true
+			w.reserved = true
 		}
-		room += size[rack] - firm[rack]
+		available += capacity[rack] - nonCheckpointed[rack]
 	}
-	return kept
+	return count
 }
 
-// keepsOff tells whether kept racks are closed to the unit: to work behind the first
-// priority that still has time, and that would be in its way.
-func (p *planner) keepsOff(u *Unit) bool {
-	if u.Priority == 0 || !p.mayWait(u) || !p.inTime(u) {
+// avoidsReserved reports whether the unit may not use reserved racks: this applies to work below
+// the top priority that still has time and that would be in the way of top-priority work.
+func (p *planner) avoidsReserved(u *Unit) bool {
+	if u.Priority == 0 || !p.canWait(u) || !p.isInTime(u) {
 		return false
 	}
-	return !u.Step.Checkpoint || p.keepsIdle()
+	return !u.Step.Checkpoint || p.keepsReservedIdle()
 }
 
-// hurriedShare is the share of the first priority's units that can't wait for a
-// stop from which on kept racks are kept of work that saves its progress, too.
-// Below it such work is stopped for the few, at the price of a moment.
-const hurriedShare = 0.2
+// minUrgentShare is the share of top-priority units that can't wait for a stop from which on
+// reserved racks are closed to work that saves its progress, too. Below it such work is stopped
+// for those few units, which costs a moment.
+const minUrgentShare = 0.2
 
-// keepsIdle tells whether the kept racks stay idle. It answers short work of the
-// first priority that comes while the pool is full: a stop takes longer than the
-// time that such work has, and what has a place kept idle starts at once. Where
-// stops are quick or the work has time, idle racks would be wasted.
-func (p *planner) keepsIdle() bool {
-	return !p.s.Without[KeepIdle] && p.s.Hurried >= hurriedShare
+// keepsReservedIdle reports whether the reserved racks stay idle. This helps short top-priority
+// work that arrives while the pool is full: a stop takes longer than the time that such work has,
+// whereas it starts at once in a rack that was kept idle. If stops are quick or the work has time,
+// idle racks would be wasted.
+func (p *planner) keepsReservedIdle() bool {
+	return !p.snapshot.Without[KeepIdle] && p.snapshot.Hurried >= minUrgentShare
 }
--- a/workload/decide/order.go
+++ b/workload/decide/order.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// order returns the indexes of the waiting units in the order in which they
-// choose: guaranteed ones first; then those that can still end within their
-// objective, those that can still earn something, and the others; then by the
-// queue's priority, by the time that is left to start, and the narrower of
-// equals.
+// order returns the indexes of the waiting units in the order of placement: guaranteed units
+// first; then units that can still end within their objective, then those that still have some
+// value, then the rest; within these by the queue's priority, by the latest start, and smaller
+// units first.
 func order(s *Snapshot) []int {
 	out := make([]int, len(s.Waiting))
 	for i := range out {
@@ -37,7 +36,7 @@
 	return len(a.Indexes) < len(b.Indexes)
 }
 
-// lateness tells what a unit that starts now still earns.
+// lateness is the value that a unit still has if it starts now.
 type lateness int
 
 const (
--- a/workload/decide/place.go
+++ b/workload/decide/place.go
@@ -6,9 +6,9 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// accepts tells whether the unit's constraints allow the worker at all.
-func (u *Unit) accepts(w *slot) bool {
-	if w.Service != u.Service || !w.mayShare(u) {
+// accepts reports whether the unit's constraints allow the worker, whatever its free capacity.
+func (u *Unit) accepts(w *workerState) bool {
+	if w.Service != u.Service || !w.isolationAllows(u) {
 		return false
 	}
 	if u.Step.Label != "" && !w.Labels[u.Step.Label] {
@@ -20,10 +20,10 @@
 	return len(u.Avoid) == 0 || !u.Avoid[w.ID]
 }
 
-// fit returns how many more of the unit's tasks go on the worker, given what
-// would be free there.
-func (p *planner) fit(u *Unit, w *slot, free workload.Resources, limit int) int {
-	if (w.kept && p.keptOff) || !u.accepts(w) {
+// fitCount returns how many more of the unit's tasks fit on the worker, given the free capacity
+// there, up to limit.
+func (p *planner) fitCount(u *Unit, w *workerState, free workload.Resources, limit int) int {
+	if (w.reserved && p.skipsReserved) || !u.accepts(w) {
 		return 0
 	}
 	if u.Step.Spread > 0 {
@@ -35,320 +35,319 @@
 	return free.Count(u.Step.Counted(), limit)
 }
 
-// room selects which capacity is looked at.
-type room int
+// capacityKind selects the capacity that is considered.
+type capacityKind int
 
 const (
-	// isFree is what nothing holds.
-	isFree room = iota
-	// beingFreed is that, and what has been told to stop.
-	beingFreed
-	// sought is that, and what the search under way would stop.
-	sought
-	// empty is all that a worker has.
-	empty
+	// freeCapacity is what no task holds.
+	freeCapacity capacityKind = iota
+	// freeingCapacity is free capacity plus that of tasks ordered to stop.
+	freeingCapacity
+	// searchedCapacity is that plus what the current victim search would free.
+	searchedCapacity
+	// totalCapacity is all that a worker has.
+	totalCapacity
 )
 
-// of is a worker's room.
-func (r room) of(w *slot) workload.Resources {
-	switch r {
-	case isFree:
+// on returns the worker's capacity of this kind.
+func (kind capacityKind) on(w *workerState) workload.Resources {
+	switch kind {
+	case freeCapacity:
 		return w.free
-	case empty:
+	case totalCapacity:
 		return w.Capacity
 	}
-	out := w.free.Add(w.coming)
-	if r == sought && w.site != nil {
-		out = out.Add(w.site.freed)
+	capacity := w.free.Add(w.freeing)
+	if kind == searchedCapacity && w.candidate != nil {
+		capacity = capacity.Add(w.candidate.freed)
 	}
-	return out
+	return capacity
 }
 
-// placeSingles starts as many of the unit's tasks as fit, near their data
-// first, each on the worker that it fills best.
+// placeSingles starts as many of the unit's tasks as fit, near their data first, each on the
+// worker with the least free capacity.
 func (p *planner) placeSingles(i int, u *Unit) {
-	rest := u.Indexes
-	shape := p.shapeOf(u, anyPace)
+	remaining := u.Indexes
+	shape := p.shapeOf(u, anySpeed)
 	if u.Step.DataRack != "" {
-		rest = p.fillByPace(i, u, rest, p.rackAt(u.Step.DataRack), false)
-		if len(rest) > 0 && p.waitsForData(u) {
-			p.hold(i, NoRack)
+		remaining = p.fillByClass(i, u, remaining, p.rackWorkersIn(u.Step.DataRack), false)
+		if len(remaining) > 0 && p.waitsForData(u) {
+			p.deferUnit(i, NoRack)
 			return
 		}
 	}
-	if p.free.of(shape).all > 0 {
-		rest = p.fillByPace(i, u, rest, p.poolAt, u.Step.DataRack != "")
+	if p.freeLimits.get(shape).total > 0 {
+		remaining = p.fillByClass(i, u, remaining, p.workersIn, u.Step.DataRack != "")
 	}
-	if len(rest) == 0 {
+	if len(remaining) == 0 {
 		return
 	}
-	if u.plain() {
-		p.free.lower(shape, 1)
+	if u.isUnconstrained() {
+		p.freeLimits.lowerTotal(shape, 1)
 	}
-	if u.Priority == 0 && p.clearFor(u, rest) {
-		p.hold(i, WaitsForStop)
+	if u.Priority == 0 && p.reserveOrPreempt(u, remaining) {
+		p.deferUnit(i, WaitsForStop)
 		return
 	}
-	p.hold(i, NoRoom)
+	p.deferUnit(i, NoCapacity)
 }
 
-// clearFor keeps room that is being freed for the tasks of a unit that have
-// found none, or has it freed.
-func (p *planner) clearFor(u *Unit, rest []int) bool {
-	part := *u
-	part.Indexes = rest
-	return p.reserveGang(&part, beingFreed) || p.preempt(&part)
+// reserveOrPreempt reserves capacity that is being freed for the remaining tasks of a unit, or
+// preempts others for them.
+func (p *planner) reserveOrPreempt(u *Unit, remaining []int) bool {
+	partial := *u
+	partial.Indexes = remaining
+	return p.reserveGang(&partial, freeingCapacity) || p.preempt(&partial)
 }
 
-// waitsForData tells whether a task does better to wait for the rack of its
-// data than to run elsewhere at once: while it can still be in time there and
-// the rack has workers that could run it.
+// waitsForData reports whether a task waits for the rack of its data rather than run elsewhere at
+// once: while it is worth waiting and the rack has workers that could run it.
 func (p *planner) waitsForData(u *Unit) bool {
-	if !p.waitsNear(u) {
+	if !p.waitsForLocality(u) {
 		return false
 	}
 	for _, w := range p.racks[u.Step.DataRack] {
-		if p.fit(u, w, w.Capacity, 1) > 0 {
+		if p.fitCount(u, w, w.Capacity, 1) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// fillByPace fills the workers of each pace in the unit's order.
-func (p *planner) fillByPace(i int, u *Unit, rest []int, at func(pace) []*slot, far bool) []int {
-	for _, each := range p.paces(u) {
-		if len(rest) > 0 {
-			rest = p.fill(i, u, rest, at(each), far)
+// fillByClass fills the workers of each speed class in the unit's class order.
+func (p *planner) fillByClass(i int, u *Unit, remaining []int, workersIn func(speedClass) []*workerState, remote bool) []int {
+	for _, class := range p.classOrder(u) {
+		if len(remaining) > 0 {
+			remaining = p.fill(i, u, remaining, workersIn(class), remote)
 		}
 	}
-	return rest
+	return remaining
 }
 
-// fill starts tasks on the workers given, each on the one that has the least left,
-// and returns the tasks that are left. A worker that was given a task has less
-// left than before, so that it is filled before the next one is looked at.
-func (p *planner) fill(i int, u *Unit, rest []int, workers []*slot, far bool) []int {
+// fill starts tasks on the given workers, those with the least free capacity first, and returns
+// the tasks that are left. A worker that got a task has even less free capacity, so it is filled
+// before the next one is tried.
+func (p *planner) fill(i int, u *Unit, remaining []int, workers []*workerState, remote bool) []int {
 	need := u.Step.Counted()
-	for _, m := range p.fits(u, workers, isFree, len(rest)) {
-		for range min(m.count, len(rest)) {
-			m.w.take(need)
+	for _, m := range p.fittingWorkers(u, workers, freeCapacity, len(remaining)) {
+		for range min(m.count, len(remaining)) {
+			m.w.allocate(need)
 			if u.Step.Spread > 0 {
-				u.put(m.w.ID)
+				u.countPlaced(m.w.ID)
 			}
-			p.start(i, rest[0], m.w, far && m.w.Rack != u.Step.DataRack)
-			rest = rest[1:]
+			p.assign(i, remaining[0], m.w, remote && m.w.Rack != u.Step.DataRack)
+			remaining = remaining[1:]
 		}
 	}
-	return rest
+	return remaining
 }
 
-// put counts one more task of the unit on a worker.
-func (u *Unit) put(worker string) {
+// countPlaced counts one more task of the unit on a worker.
+func (u *Unit) countPlaced(worker string) {
 	if u.Beside == nil {
 		u.Beside = map[string]int{}
 	}
 	u.Beside[worker]++
 }
 
-// tighter orders workers: those with less left come first, so that large blocks
-// stay whole.
-func tighter(a, b *slot) bool {
+// hasLessFree orders workers by free capacity, least first, so that large blocks stay whole.
+func hasLessFree(a, b *workerState) bool {
 	if a.free.Accelerators != b.free.Accelerators {
 		return a.free.Accelerators < b.free.Accelerators
 	}
 	return a.free.MilliCPU < b.free.MilliCPU
 }
 
-// member is where one task of a gang goes.
-type member struct {
-	w     *slot
+// placement is a number of tasks of a unit on one worker.
+type placement struct {
+	w     *workerState
 	count int
 }
 
-// placeGang starts the whole gang or nothing of it.
+// placeGang starts the whole gang or none of it.
 func (p *planner) placeGang(i int, u *Unit) {
-	if p.startGang(i, u, isFree) {
+	if p.startGang(i, u, freeCapacity) {
 		return
 	}
-	if p.reserveGang(u, beingFreed) {
-		p.hold(i, WaitsForStop)
+	if p.reserveGang(u, freeingCapacity) {
+		p.deferUnit(i, WaitsForStop)
 		return
 	}
 	if p.preempt(u) {
-		p.hold(i, WaitsForStop)
+		p.deferUnit(i, WaitsForStop)
 		return
 	}
-	p.hold(i, NoRoom)
+	p.deferUnit(i, NoCapacity)
 }
 
-func (p *planner) startGang(i int, u *Unit, r room) bool {
-	members, far := p.findGang(u, r)
-	if members == nil {
+func (p *planner) startGang(i int, u *Unit, kind capacityKind) bool {
+	placements, remote := p.findGang(u, kind)
+	if placements == nil {
 		return false
 	}
 	next := 0
-	for _, m := range members {
+	for _, m := range placements {
 		for range m.count {
-			m.w.take(u.Step.Counted())
-			p.start(i, u.Indexes[next], m.w, far)
+			m.w.allocate(u.Step.Counted())
+			p.assign(i, u.Indexes[next], m.w, remote)
 			next++
 		}
 	}
 	return true
 }
 
-func (p *planner) reserveGang(u *Unit, r room) bool {
-	members, _ := p.findGang(u, r)
-	if members == nil {
+func (p *planner) reserveGang(u *Unit, kind capacityKind) bool {
+	placements, _ := p.findGang(u, kind)
+	if placements == nil {
 		return false
 	}
-	p.reserve(u, members)
+	p.reserve(u, placements)
 	return true
 }
 
-func (p *planner) reserve(u *Unit, members []member) {
-	for _, m := range members {
+func (p *planner) reserve(u *Unit, placements []placement) {
+	for _, m := range placements {
 		for range m.count {
-			m.w.take(u.Step.Counted())
+			m.w.allocate(u.Step.Counted())
 		}
 	}
 }
 
-// findGang looks for room for the whole gang: in the rack of its data, in one
-// rack, and over racks where that does no harm or waiting costs more. In each it
-// looks at workers of one pace first.
-func (p *planner) findGang(u *Unit, r room) (members []member, far bool) {
+// findGang looks for capacity for the whole gang: in the rack of its data, in any one rack, and
+// across racks if that does no harm or waiting would cost more. In each case it tries one speed
+// class after the other.
+func (p *planner) findGang(u *Unit, kind capacityKind) (placements []placement, remote bool) {
 	n := len(u.Indexes)
 	if u.Step.DataRack != "" {
-		at := p.rackAt(u.Step.DataRack)
-		for _, each := range p.paces(u) {
-			if members = p.gather(u, at(each), n, r); members != nil {
-				return members, false
+		workersIn := p.rackWorkersIn(u.Step.DataRack)
+		for _, class := range p.classOrder(u) {
+			if placements = p.findPlacements(u, workersIn(class), n, kind); placements != nil {
+				return placements, false
 			}
 		}
 	}
 	if u.Step.SameRack {
-		for _, each := range p.paces(u) {
-			if members = p.anyRack(u, n, r, each); members != nil {
-				return members, u.Step.DataRack != ""
+		for _, class := range p.classOrder(u) {
+			if placements = p.findInOneRack(u, n, kind, class); placements != nil {
+				return placements, u.Step.DataRack != ""
 			}
 		}
 	}
 	if (u.Step.SameRack || u.Step.DataRack != "") && p.waitsForRack(u, n) {
 		return nil, false
 	}
-	for _, each := range p.paces(u) {
-		if members = p.anywhere(u, n, r, each); members != nil {
-			return members, u.Step.SameRack || u.Step.DataRack != ""
+	for _, class := range p.classOrder(u) {
+		if placements = p.findAnywhere(u, n, kind, class); placements != nil {
+			return placements, u.Step.SameRack || u.Step.DataRack != ""
 		}
 	}
 	return nil, false
 }
 
-// anyRack is oneRack where that is worth a look.
-func (p *planner) anyRack(u *Unit, n int, r room, at pace) []member {
-	known, shape := p.bounds(r), p.shapeOf(u, at)
-	if known.of(shape).rack < n {
+// findInOneRack is tightestRack, skipped if the gang is known not to fit.
+func (p *planner) findInOneRack(u *Unit, n int, kind capacityKind, class speedClass) []placement {
+	limits, shape := p.limits(kind), p.shapeOf(u, class)
+	if limits.get(shape).perRack < n {
 		return nil
 	}
-	members := p.oneRack(u, n, r, at)
-	if members == nil && u.plain() {
-		known.lowerRack(shape, n)
+	placements := p.tightestRack(u, n, kind, class)
+	if placements == nil && u.isUnconstrained() {
+		limits.lowerPerRack(shape, n)
 	}
-	return members
+	return placements
 }
 
-// anywhere is gather over all workers of a pace, where that is worth a look.
-func (p *planner) anywhere(u *Unit, n int, r room, at pace) []member {
-	known, shape := p.bounds(r), p.shapeOf(u, at)
-	if known.of(shape).all < n {
+// findAnywhere is findPlacements over all workers of a speed class, skipped if the gang is known
+// not to fit.
+func (p *planner) findAnywhere(u *Unit, n int, kind capacityKind, class speedClass) []placement {
+	limits, shape := p.limits(kind), p.shapeOf(u, class)
+	if limits.get(shape).total < n {
 		return nil
 	}
-	members := p.gather(u, p.poolAt(at), n, r)
-	if members == nil && u.plain() {
-		known.lower(shape, n)
+	placements := p.findPlacements(u, p.workersIn(class), n, kind)
+	if placements == nil && u.isUnconstrained() {
+		limits.lowerTotal(shape, n)
 	}
-	return members
+	return placements
 }
 
-// oneRack returns room in the rack that has the least to spare.
-func (p *planner) oneRack(u *Unit, n int, r room, at pace) []member {
-	var best []member
+// tightestRack returns placements in the rack that has the least capacity to spare.
+func (p *planner) tightestRack(u *Unit, n int, kind capacityKind, class speedClass) []placement {
+	var best []placement
 	bestSpare := 0
-	for _, rack := range p.rackList {
-		workers := p.rackAt(rack)(at)
-		spare := p.count(u, workers, r, n+1000) - n
+	for _, rack := range p.rackNames {
+		workers := p.rackWorkersIn(rack)(class)
+		spare := p.countFits(u, workers, kind, n+1000) - n
 		if spare < 0 || (best != nil && spare >= bestSpare) {
 			continue
 		}
-		if found := p.gather(u, workers, n, r); found != nil {
+		if found := p.findPlacements(u, workers, n, kind); found != nil {
 			best, bestSpare = found, spare
 		}
 	}
 	return best
 }
 
-// count returns how many of n tasks fit on the workers, at the least; it stops
-// once all do.
-func (p *planner) count(u *Unit, workers []*slot, r room, n int) int {
+// countFits returns how many of n tasks fit on the workers. It stops counting at n, so a result of
+// n or more means at least that many.
+func (p *planner) countFits(u *Unit, workers []*workerState, kind capacityKind, n int) int {
 	total := 0
 	for _, w := range workers {
-		if total += p.fit(u, w, r.of(w), n); total >= n {
+		if total += p.fitCount(u, w, kind.on(w), n); total >= n {
 			break
 		}
 	}
 	return total
 }
 
-// waitsForRack tells whether the gang could be in one rack if that were empty,
-// and there is time to wait for it.
+// waitsForRack reports whether the gang would fit into one empty rack and there is time to wait
+// for one.
 func (p *planner) waitsForRack(u *Unit, n int) bool {
-	if !p.waitsNear(u) {
+	if !p.waitsForLocality(u) {
 		return false
 	}
-	shape := p.shapeOf(u, anyPace)
-	if p.empty.of(shape).rack < n {
+	shape := p.shapeOf(u, anySpeed)
+	if p.totalLimits.get(shape).perRack < n {
 		return false
 	}
-	for _, rack := range p.rackList {
-		if p.count(u, p.racks[rack], empty, n) >= n {
+	for _, rack := range p.rackNames {
+		if p.countFits(u, p.racks[rack], totalCapacity, n) >= n {
 			return true
 		}
 	}
-	if u.plain() {
-		p.empty.lowerRack(shape, n)
+	if u.isUnconstrained() {
+		p.totalLimits.lowerPerRack(shape, n)
 	}
 	return false
 }
 
-// gather finds room for n tasks on the workers, using first those that have
-// the least room, so that large blocks stay whole; nil if there is none.
-func (p *planner) gather(u *Unit, workers []*slot, n int, r room) []member {
-	if p.count(u, workers, r, n) < n {
+// findPlacements finds capacity for n tasks on the workers, using those with the least free
+// capacity first so that large blocks stay whole; nil if there is not enough.
+func (p *planner) findPlacements(u *Unit, workers []*workerState, n int, kind capacityKind) []placement {
+	if p.countFits(u, workers, kind, n) < n {
 		return nil
 	}
-	return cut(p.fits(u, workers, r, n), n)
+	return limitTo(p.fittingWorkers(u, workers, kind, n), n)
 }
 
-// fits returns the workers that have room for tasks of the unit, and for how many
-// of n; those that have the least room come first.
-func (p *planner) fits(u *Unit, workers []*slot, r room, n int) []member {
-	var found []member
+// fittingWorkers returns the workers on which tasks of the unit fit, with how many of n; the
+// workers with the least free capacity come first, except for suspects.
+func (p *planner) fittingWorkers(u *Unit, workers []*workerState, kind capacityKind, n int) []placement {
+	var found []placement
 	for _, w := range workers {
-		if k := p.fit(u, w, r.of(w), n); k > 0 {
-			found = append(found, member{w, k})
+		if k := p.fitCount(u, w, kind.on(w), n); k > 0 {
+			found = append(found, placement{w, k})
 		}
 	}
-	before := tighter
+	less := hasLessFree
 	if u.Suspect {
-		before = calmer
+		less = isSaferForSuspect
 	}
-	sort.SliceStable(found, func(a, b int) bool { return before(found[a].w, found[b].w) })
+	sort.SliceStable(found, func(a, b int) bool { return less(found[a].w, found[b].w) })
 	return found
 }
 
-func cut(found []member, n int) []member {
+func limitTo(found []placement, n int) []placement {
 	for i := range found {
 		if found[i].count >= n {
 			found[i].count = n
--- a/workload/decide/preempt.go
+++ b/workload/decide/preempt.go
@@ -2,91 +2,90 @@
 
 import "time"
 
-// preempt looks for the groups whose stop makes room for the unit at the least
-// work lost, marks them as stopping and keeps the room for the unit. Work of
-// the first priority may preempt; beyond its account's guarantee only while that
-// is in time and worth it.
+// preempt chooses the groups whose stop makes room for the unit at the least work lost, marks them
+// as stopping and reserves their capacity for the unit. Only top-priority work may preempt; beyond
+// its account's guarantee only while it is in time and does more work than it throws away.
 func (p *planner) preempt(u *Unit) bool {
-	if u.Priority > 0 || (!u.Guaranteed && u.lateness(p.s.Now) != inTime) {
+	if u.Priority > 0 || (!u.Guaranteed && u.lateness(p.snapshot.Now) != inTime) {
 		return false
 	}
-	if !u.Guaranteed && p.s.Without[StopBeyondGuarantee] {
+	if !u.Guaranteed && p.snapshot.Without[StopBeyondGuarantee] {
 		return false
 	}
-	best := p.victimsAnywhere(u, behind)
+	best := p.findVictims(u, hasLowerPriority)
 	if best == nil && u.Guaranteed {
-		// Work of the same priority earns as much: it is stopped last.
-		best = p.victimsAnywhere(u, borrowed)
+		// Work of the same priority has the same value, so it is stopped last.
+		best = p.findVictims(u, isBorrower)
 	}
-	if best == nil || (!u.Guaranteed && best.lost > u.work()) {
+	if best == nil || (!u.Guaranteed && best.lost > u.totalWork()) {
 		return false
 	}
 	for _, v := range best.victims {
 		p.stop(v)
 	}
-	p.reserve(u, best.members)
+	p.reserve(u, best.placements)
 	return true
 }
 
-// stopMargin is what a decision, its way and an end's way back take.
-const stopMargin = 300 * time.Millisecond
+// stopOverhead is the time for a decision, its delivery and the report of the end.
+const stopOverhead = 300 * time.Millisecond
 
-// hurryMargin is the least that a stop takes beyond its time: a decision and an
-// order's way. With all of stopMargin short estimates alone would make a quarter of
-// the units look hurried where a stop takes a fifth of a second.
-const hurryMargin = 100 * time.Millisecond
+// minStopOverhead is the least that a stop takes beyond its timeout: a decision and the delivery
+// of the order. With all of stopOverhead, a quarter of the units would count as urgent merely for
+// their short estimates where a stop takes a fifth of a second.
+const minStopOverhead = 100 * time.Millisecond
 
-// Hurries tells whether a unit with so much time to start can't wait for a stop.
-func Hurries(slack, stopTimeout time.Duration) bool { return slack < stopTimeout+hurryMargin }
+// Hurries reports whether a unit with this much time left to start can't wait for a stop.
+func Hurries(slack, stopTimeout time.Duration) bool { return slack < stopTimeout+minStopOverhead }
 
-// work is what the unit does in all, in core-seconds. Beyond a guarantee no more
-// work is thrown away than that.
-func (u *Unit) work() float64 {
+// totalWork is all the work of the unit, in core-seconds. Beyond a guarantee no more work than
+// that is thrown away for it.
+func (u *Unit) totalWork() float64 {
 	return u.Run.Seconds() * u.Step.Need.CoreEquivalent() * float64(len(u.Indexes))
 }
 
-type choice struct {
-	victims []int
-	lost    float64
-	members []member
+type victimSet struct {
+	victims    []int
+	lost       float64
+	placements []placement
 }
 
-// victim tells whether a unit may stop a group.
-type victim func(u *Unit, g *Group) bool
+// victimFilter reports whether a group may be stopped for a unit.
+type victimFilter func(u *Unit, g *Group) bool
 
-// behind are the groups of a later priority.
-func behind(u *Unit, g *Group) bool { return !g.Guaranteed && g.Priority > u.Priority }
+// hasLowerPriority allows groups of a lower priority that are not guaranteed.
+func hasLowerPriority(u *Unit, g *Group) bool { return !g.Guaranteed && g.Priority > u.Priority }
 
-// borrowed are all groups that are not guaranteed.
-func borrowed(u *Unit, g *Group) bool { return !g.Guaranteed && g.Priority >= u.Priority }
+// isBorrower allows all groups of the same or a lower priority that are not guaranteed.
+func isBorrower(u *Unit, g *Group) bool { return !g.Guaranteed && g.Priority >= u.Priority }
 
-// victimsAnywhere tries each rack for a gang that wants one, then all workers; each
-// time those of the unit's own pace first.
-func (p *planner) victimsAnywhere(u *Unit, may victim) *choice {
+// findVictims tries each rack if the unit is a gang that wants one, then all workers, each time in
+// the unit's class order.
+func (p *planner) findVictims(u *Unit, canStop victimFilter) *victimSet {
 	if u.Step.SameRack {
-		for _, each := range p.paces(u) {
-			if best := p.victimsInRack(u, may, each); best != nil {
+		for _, class := range p.classOrder(u) {
+			if best := p.findVictimsInOneRack(u, canStop, class); best != nil {
 				return best
 			}
 		}
 	}
-	for _, each := range p.paces(u) {
-		if best := p.victims(u, p.poolAt(each), may); best != nil {
+	for _, class := range p.classOrder(u) {
+		if best := p.victimsOn(u, p.workersIn(class), canStop); best != nil {
 			return best
 		}
 	}
 	return nil
 }
 
-func (p *planner) victimsInRack(u *Unit, may victim, at pace) *choice {
-	var best *choice
-	for _, rack := range p.rackList {
-		best = cheaper(best, p.victims(u, p.rackAt(rack)(at), may))
+func (p *planner) findVictimsInOneRack(u *Unit, canStop victimFilter, class speedClass) *victimSet {
+	var best *victimSet
+	for _, rack := range p.rackNames {
+		best = cheaper(best, p.victimsOn(u, p.rackWorkersIn(rack)(class), canStop))
 	}
 	return best
 }
 
-func cheaper(a, b *choice) *choice {
+func cheaper(a, b *victimSet) *victimSet {
 	if a == nil || (b != nil && b.lost < a.lost) {
 		return b
 	}
@@ -96,8 +95,8 @@
 func (p *planner) stop(group int) {
 	p.stopped[group] = true
 	p.plan.Stops = append(p.plan.Stops, group)
-	for _, h := range p.holders.of(group) {
-		h.w.coming = h.w.coming.Add(h.Resources)
+	for _, alloc := range p.groups.workersOf(group) {
+		alloc.w.freeing = alloc.w.freeing.Add(alloc.Resources)
 	}
-	clear(p.coming)
+	clear(p.freeingLimits)
 }
--- /dev/null
+++ b/workload/decide/speed.go
@@ -0,0 +1,100 @@
+package decide
+
+// Workers differ permanently in speed, and a gang runs at the speed of its slowest member: if a
+// third of the workers take 1.3 times as long, a gang of 8 on arbitrary workers takes 1.3 times as
+// long in 19 of 20 cases. Gangs of the top priority, which have little time, are therefore placed
+// on fast workers if these have room, then on workers that are not slow. Other gangs leave the
+// fast workers to them while there is room elsewhere, and single tasks, which each run at their
+// own speed, fill the slow workers first.
+
+// speedClass selects the workers that are searched.
+type speedClass int
+
+const (
+	// anySpeed selects all workers.
+	anySpeed speedClass = iota
+	// notSlow selects the workers that are not known to be slow.
+	notSlow
+	// slow selects the workers that are.
+	slow
+	// fast selects the workers that are known to be faster than most, notFast all others.
+	fast
+	notFast
+)
+
+// speedThreshold is the factor to the average speed from which on a worker counts as fast or slow.
+// Twice the usual difference between tasks of one step is far more, but a worker's runs are
+// compared with several others.
+const speedThreshold = 1.1
+
+// Slow reports whether a worker with the given speed relative to the average counts as slow; 0 is
+// unknown.
+func Slow(speed float64) bool { return speed > 0 && speed < 1/speedThreshold }
+
+// isFast reports whether a worker with the given speed counts as faster than most.
+func isFast(speed float64) bool { return speed > speedThreshold }
+
+// groupBySpeed lists the workers by speed class. If none is slow, or all are, no distinction is
+// made.
+func (p *planner) groupBySpeed() {
+	p.byClass = map[speedClass][]*workerState{}
+	p.racksByClass = map[speedClass]map[string][]*workerState{notSlow: {}, slow: {}, fast: {}, notFast: {}}
+	for _, w := range p.workers {
+		p.addToClass(w, Slow(w.Speed), slow, notSlow)
+		p.addToClass(w, isFast(w.Speed), fast, notFast)
+	}
+}
+
+// addToClass lists a worker under one of two classes.
+func (p *planner) addToClass(w *workerState, matches bool, class, otherwise speedClass) {
+	if !matches {
+		class = otherwise
+	}
+	p.byClass[class] = append(p.byClass[class], w)
+	p.racksByClass[class][w.Rack] = append(p.racksByClass[class][w.Rack], w)
+}
+
+// classOrder returns the speed classes that a unit is tried on, in order.
+func (p *planner) classOrder(u *Unit) []speedClass {
+	someSlow := len(p.byClass[slow]) > 0 && len(p.byClass[notSlow]) > 0
+	someFast := len(p.byClass[fast]) > 0 && len(p.byClass[notFast]) > 0
+	switch {
+	case p.snapshot.Without[WorkerSpeeds] || !(someSlow || someFast):
+		return anySpeedOnly
+	case u.Priority == 0 && someFast:
+		return fastThenNotSlow
+	case u.Priority == 0:
+		return notSlowFirst
+	case u.Step.Gang && someFast:
+		return notFastFirst
+	case u.Step.Gang:
+		return anySpeedOnly
+	}
+	return slowFirst
+}
+
+var (
+	anySpeedOnly    = []speedClass{anySpeed}
+	fastThenNotSlow = []speedClass{fast, notSlow, anySpeed}
+	notSlowFirst    = []speedClass{notSlow, anySpeed}
+	notFastFirst    = []speedClass{notFast, anySpeed}
+	slowFirst       = []speedClass{slow, anySpeed}
+)
+
+// workersIn returns the workers of a speed class.
+func (p *planner) workersIn(class speedClass) []*workerState {
+	if class == anySpeed {
+		return p.workers
+	}
+	return p.byClass[class]
+}
+
+// rackWorkersIn returns the workers of a speed class in a rack.
+func (p *planner) rackWorkersIn(rack string) func(speedClass) []*workerState {
+	return func(class speedClass) []*workerState {
+		if class == anySpeed {
+			return p.racks[rack]
+		}
+		return p.racksByClass[class][rack]
+	}
+}
--- a/workload/decide/suspects.go
+++ b/workload/decide/suspects.go
@@ -1,32 +1,34 @@
 package decide
 
-// A task under which a worker has crashed may have crashed it, or have been beside the one
-// that did. Its next run tells, if nothing else that is new runs beside it. Placed like all
-// others, what was lost together would be lost together again.
+// A task under which a worker has crashed may have caused the crash, or may only have run next to
+// the task that did. Its next run shows which, provided that no other recently started task runs
+// next to it. If suspects were placed like other tasks, tasks that were lost together would be
+// placed and lost together again.
 
-// mayShare tells whether a unit may come to a worker where a suspect is watched.
-func (w *slot) mayShare(u *Unit) bool {
-	if w.watched != "" && w.watched != u.Key.Job {
+// isolationAllows reports whether the unit may share the worker: it may not join a suspect of
+// another job, nor any other job if it has to run alone.
+func (w *workerState) isolationAllows(u *Unit) bool {
+	if w.suspectJob != "" && w.suspectJob != u.Key.Job {
 		return false
 	}
-	return !u.Alone || (!w.shared && (w.occupant == "" || w.occupant == u.Key.Job))
+	return !u.Alone || (!w.hasSeveralJobs && (w.runningJob == "" || w.runningJob == u.Key.Job))
 }
 
-// calmer orders workers for a suspect: those where nothing has just begun come first, and
-// of these the ones with the most room, where the least is lost with it.
-func calmer(a, b *slot) bool {
-	if a.unsettled != b.unsettled {
-		return b.unsettled
+// isSaferForSuspect orders workers for a suspect: workers without a recent start come first, and
+// among these the ones with the most free capacity, where the least is lost in a crash.
+func isSaferForSuspect(a, b *workerState) bool {
+	if a.hasRecentStart != b.hasRecentStart {
+		return b.hasRecentStart
 	}
-	return tighter(b, a)
+	return hasLessFree(b, a)
 }
 
-// begins notes what a start means for those that come after it in the plan.
-func (w *slot) begins(u *Unit) {
-	w.unsettled = true
-	w.shared = w.shared || (w.occupant != "" && w.occupant != u.Key.Job)
-	w.occupant = u.Key.Job
-	if u.Suspect && w.watched == "" {
-		w.watched = u.Key.Job
+// recordStart records a start for the units that are placed later in the plan.
+func (w *workerState) recordStart(u *Unit) {
+	w.hasRecentStart = true
+	w.hasSeveralJobs = w.hasSeveralJobs || (w.runningJob != "" && w.runningJob != u.Key.Job)
+	w.runningJob = u.Key.Job
+	if u.Suspect && w.suspectJob == "" {
+		w.suspectJob = u.Key.Job
 	}
 }
--- a/workload/decide/victims.go
+++ b/workload/decide/victims.go
@@ -7,203 +7,202 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// search looks for groups to stop so that a unit fits on some workers. It frees
-// room worker by worker, each time where one more task costs the least work:
-// freeing the cheapest groups wherever they are would leave parts of many
-// workers free and none whole. What was worked out for a worker holds until a
-// group on it is chosen or taken back.
-type search struct {
-	p     *planner
-	u     *Unit
-	sites []*site
-	// have is the number of tasks that fit, over all sites; no site counts with more
-	// than the unit's tasks.
-	have   int
-	chosen []int
+// victimSearch looks for groups to stop so that a unit fits on some workers. It frees capacity
+// worker by worker, each time where one more task costs the least work: stopping the cheapest
+// groups wherever they are would free parts of many workers and no whole one. The result for a
+// worker stays valid until a group on it is chosen or taken back.
+type victimSearch struct {
+	p          *planner
+	u          *Unit
+	candidates []*candidate
+	// fitting is the number of tasks that fit over all candidates; each candidate counts with at
+	// most the unit's number of tasks.
+	fitting int
+	chosen  []int
 }
 
-// site is a worker of a search.
-type site struct {
-	w *slot
-	// may lists the groups that may be stopped there, the cheapest first.
-	may   []holder
-	freed workload.Resources
+// candidate is a worker of a victim search.
+type candidate struct {
+	w *workerState
+	// stoppable lists the groups that may be stopped there, the cheapest first.
+	stoppable []groupAllocation
+	freed     workload.Resources
 	// fits is the number of tasks that fit.
 	fits int
-	// step are the groups whose stop lets at least one more task fit, gain how many
-	// more do, cost the work lost; known tells that they are current.
-	step  []holder
-	gain  int
-	cost  float64
-	known bool
+	// nextStops are the groups whose stop lets at least one more task fit, gain is how many more
+	// fit then and cost the work lost; current reports whether the three are up to date.
+	nextStops []groupAllocation
+	gain      int
+	cost      float64
+	current   bool
 }
 
-// victims returns the groups whose stop makes room for the unit on the workers;
-// nil if no stops do.
-func (p *planner) victims(u *Unit, workers []*slot, may victim) *choice {
+// victimsOn returns the groups whose stop makes room for the unit on the workers; nil if no stops
+// do.
+func (p *planner) victimsOn(u *Unit, workers []*workerState, canStop victimFilter) *victimSet {
 	n := len(u.Indexes)
-	s := p.newSearch(u, workers, may)
-	defer s.end()
-	if s.atMost() < n {
+	s := p.newVictimSearch(u, workers, canStop)
+	defer s.detach()
+	if s.maxFits() < n {
 		return nil
 	}
-	for s.have < n {
-		best := s.cheapest(n - s.have)
+	for s.fitting < n {
+		best := s.cheapest(n - s.fitting)
 		if best == nil {
 			return nil
 		}
-		for _, h := range best.step {
+		for _, h := range best.nextStops {
 			s.choose(h.group)
 		}
 	}
 	kept := s.prune(n)
-	out := &choice{victims: kept, members: p.gather(u, workers, n, sought)}
+	set := &victimSet{victims: kept, placements: p.findPlacements(u, workers, n, searchedCapacity)}
 	for _, g := range kept {
-		out.lost += p.s.Running[g].Lost
+		set.lost += p.snapshot.Running[g].Lost
 	}
-	return out
+	return set
 }
 
-func (p *planner) newSearch(u *Unit, workers []*slot, may victim) *search {
-	if p.holders == nil {
-		p.holders = newHolders(p.s, p.workers)
+func (p *planner) newVictimSearch(u *Unit, workers []*workerState, canStop victimFilter) *victimSearch {
+	if p.groups == nil {
+		p.groups = newGroupIndex(p.snapshot, p.workers)
 	}
-	s := &search{p: p, u: u}
+	s := &victimSearch{p: p, u: u}
 	for _, w := range workers {
 		if !u.accepts(w) {
 			continue
 		}
-		one := &site{w: w}
-		for _, h := range p.holders.on[w.index] {
-			if g := &p.s.Running[h.group]; !g.Stopping && !g.Fixed && !p.stopped[h.group] && may(u, g) {
-				one.may = append(one.may, h)
+		c := &candidate{w: w}
+		for _, h := range p.groups.byWorker[w.index] {
+			if g := &p.snapshot.Running[h.group]; !g.Stopping && !g.Fixed && !p.stopped[h.group] && canStop(u, g) {
+				c.stoppable = append(c.stoppable, h)
 			}
 		}
-		w.site = one
-		one.fits = s.fit(one, sought.of(w))
-		s.have += one.fits
-		s.sites = append(s.sites, one)
+		w.candidate = c
+		c.fits = s.fitCount(c, searchedCapacity.on(w))
+		s.fitting += c.fits
+		s.candidates = append(s.candidates, c)
 	}
 	return s
 }
 
-// end takes the search off its workers.
-func (s *search) end() {
-	for _, one := range s.sites {
-		one.w.site = nil
+// detach removes the search from its workers.
+func (s *victimSearch) detach() {
+	for _, c := range s.candidates {
+		c.w.candidate = nil
 	}
 }
 
-// atMost is how many tasks would fit if all groups were stopped that may be.
-func (s *search) atMost() int {
+// maxFits is the number of tasks that would fit if all stoppable groups were stopped.
+func (s *victimSearch) maxFits() int {
 	total := 0
-	for _, one := range s.sites {
-		room := sought.of(one.w)
-		for _, h := range one.may {
-			room = room.Add(h.Resources)
+	for _, c := range s.candidates {
+		capacity := searchedCapacity.on(c.w)
+		for _, h := range c.stoppable {
+			capacity = capacity.Add(h.Resources)
 		}
-		total += s.fit(one, room)
+		total += s.fitCount(c, capacity)
 	}
 	return total
 }
 
-func (s *search) fit(one *site, room workload.Resources) int {
-	return s.p.fit(s.u, one.w, room, len(s.u.Indexes))
+func (s *victimSearch) fitCount(c *candidate, capacity workload.Resources) int {
+	return s.p.fitCount(s.u, c.w, capacity, len(s.u.Indexes))
 }
 
 // choose adds a group to those to be stopped.
-func (s *search) choose(group int) {
+func (s *victimSearch) choose(group int) {
 	s.chosen = append(s.chosen, group)
-	s.shift(group, workload.Resources.Add)
+	s.adjust(group, workload.Resources.Add)
 }
 
-// shift adds what a group holds to what would be freed, or takes it off again.
-func (s *search) shift(group int, by func(a, b workload.Resources) workload.Resources) {
-	for _, h := range s.p.holders.of(group) {
-		one := h.w.site
-		if one == nil {
+// adjust adds what a group holds to the capacity that would be freed, or subtracts it again.
+func (s *victimSearch) adjust(group int, by func(a, b workload.Resources) workload.Resources) {
+	for _, h := range s.p.groups.workersOf(group) {
+		c := h.w.candidate
+		if c == nil {
 			continue
 		}
-		one.freed = by(one.freed, h.Resources)
-		one.known = false
-		s.have -= one.fits
-		one.fits = s.fit(one, sought.of(one.w))
-		s.have += one.fits
+		c.freed = by(c.freed, h.Resources)
+		c.current = false
+		s.fitting -= c.fits
+		c.fits = s.fitCount(c, searchedCapacity.on(c.w))
+		s.fitting += c.fits
 	}
 }
 
-// cheapest returns the site where stops cost the least for each task that fits
-// then; most is how many more tasks are of use.
-func (s *search) cheapest(most int) *site {
-	var best *site
+// cheapest returns the candidate with the lowest cost for each task that then fits; useful is how
+// many more tasks are needed at most.
+func (s *victimSearch) cheapest(useful int) *candidate {
+	var best *candidate
 	bestCost := 0.0
-	for _, one := range s.sites {
-		s.oneMore(one)
-		if one.step == nil {
+	for _, c := range s.candidates {
+		s.updateNextStops(c)
+		if c.nextStops == nil {
 			continue
 		}
-		if cost := one.cost / float64(min(most, one.gain)); best == nil || cost < bestCost {
-			best, bestCost = one, cost
+		if cost := c.cost / float64(min(useful, c.gain)); best == nil || cost < bestCost {
+			best, bestCost = c, cost
 		}
 	}
 	return best
 }
 
-// oneMore works out the groups of a site whose stop lets at least one more task
-// fit there, and how many more do.
-func (s *search) oneMore(one *site) {
-	if one.known {
+// updateNextStops computes the groups of a candidate whose stop lets at least one more task fit
+// there, and how many more fit then.
+func (s *victimSearch) updateNextStops(c *candidate) {
+	if c.current {
 		return
 	}
-	one.known, one.step, one.cost = true, nil, 0
-	room := sought.of(one.w)
-	var step []holder
-	for _, h := range one.may {
+	c.current, c.nextStops, c.cost = true, nil, 0
+	capacity := searchedCapacity.on(c.w)
+	var stops []groupAllocation
+	for _, h := range c.stoppable {
 		if slices.Contains(s.chosen, h.group) {
 			continue
 		}
-		room = room.Add(h.Resources)
-		step = append(step, h)
-		if s.fit(one, room) > one.fits {
+		capacity = capacity.Add(h.Resources)
+		stops = append(stops, h)
+		if s.fitCount(c, capacity) > c.fits {
 			break
 		}
 	}
-	one.step = s.needed(one, step, room)
-	room = sought.of(one.w)
-	for _, h := range one.step {
-		room = room.Add(h.Resources)
-		one.cost += s.p.s.Running[h.group].Lost
+	c.nextStops = s.dropUnneeded(c, stops, capacity)
+	capacity = searchedCapacity.on(c.w)
+	for _, h := range c.nextStops {
+		capacity = capacity.Add(h.Resources)
+		c.cost += s.p.snapshot.Running[h.group].Lost
 	}
-	one.gain = s.fit(one, room) - one.fits
+	c.gain = s.fitCount(c, capacity) - c.fits
 }
 
-// needed drops the groups without which one more task fits all the same, the
-// dearest first; nil if none more fits.
-func (s *search) needed(one *site, step []holder, room workload.Resources) []holder {
-	if s.fit(one, room) <= one.fits {
+// dropUnneeded drops the groups without which one more task still fits, the most expensive first;
+// nil if not even stopping all of them makes one more fit.
+func (s *victimSearch) dropUnneeded(c *candidate, stops []groupAllocation, capacity workload.Resources) []groupAllocation {
+	if s.fitCount(c, capacity) <= c.fits {
 		return nil
 	}
-	var kept []holder
-	for i := len(step) - 1; i >= 0; i-- {
-		without := room.Sub(step[i].Resources)
-		if s.fit(one, without) > one.fits {
-			room = without
+	var kept []groupAllocation
+	for i := len(stops) - 1; i >= 0; i-- {
+		smaller := capacity.Sub(stops[i].Resources)
+		if s.fitCount(c, smaller) > c.fits {
+			capacity = smaller
 			continue
 		}
-		kept = append(kept, step[i])
+		kept = append(kept, stops[i])
 	}
 	return kept
 }
 
-// prune takes back the groups that are not needed, the dearest first.
-func (s *search) prune(n int) []int {
-	running := s.p.s.Running
+// prune takes back the groups that are not needed, the most expensive first.
+func (s *victimSearch) prune(n int) []int {
+	running := s.p.snapshot.Running
 	sort.SliceStable(s.chosen, func(a, b int) bool { return running[s.chosen[a]].Lost > running[s.chosen[b]].Lost })
 	var kept []int
 	for _, g := range s.chosen {
-		s.shift(g, workload.Resources.Sub)
-		if s.have < n {
-			s.shift(g, workload.Resources.Add)
+		s.adjust(g, workload.Resources.Sub)
+		if s.fitting < n {
+			s.adjust(g, workload.Resources.Add)
 			kept = append(kept, g)
 		}
 	}
