--- a/workload/book.go
+++ b/workload/book.go
@@ -6,89 +6,90 @@
 	"time"
 )
 
-// Keys of records. Each record carries the whole of what its key names, so
-// that the newest record of each key is a snapshot of the book.
+// Prefixes of record keys. Each record holds the complete value of its key, so that the newest
+// record of each key together make a snapshot of the book.
 const (
 	acceptedPrefix  = "j/"
 	cancelledPrefix = "c/"
 	progressPrefix  = "p/"
 )
 
-// AcceptedKey is the key of a job's acceptance.
+// AcceptedKey returns the key of a job's acceptance.
 func AcceptedKey(id JobID) string { return acceptedPrefix + string(id) }
 
-// CancelledKey is the key of the request to cancel a job.
+// CancelledKey returns the key of the request to cancel a job.
 func CancelledKey(id JobID) string { return cancelledPrefix + string(id) }
 
-// ProgressKey is the key of a job's progress.
+// ProgressKey returns the key of a job's progress.
 func ProgressKey(id JobID) string { return progressPrefix + string(id) }
 
-// IDOfKey is the job that a record's key names; the key is one of those above.
+// IDOfKey returns the job that a record's key names; the key has to be one of the above.
 func IDOfKey(key string) JobID { return JobID(key[2:]) }
 
-// Entry is what the book has of one job. Job is nil while its acceptance has not
-// been read, and where it is not followed.
+// Entry is the book's state of one job. Job is nil until the acceptance has been read, and on
+// instances that do not read acceptances.
 type Entry struct {
 	Job *Job
-	// Accepted tells that the job was handed in, by its acceptance or by what a
-	// planner stated of it; Queue is the route by which it came.
+	// Accepted reports whether the job was submitted, according to its acceptance or to the status
+	// that a planner published; Queue is the route by which it was submitted.
 	Accepted  bool
 	Queue     string
 	Cancelled bool
-	// State and Begun are the head of the progress.
+	// The next three are the summary fields of the progress.
 	State   State
 	Begun   bool
 	EndedMS int64
-	// Settled tells that the job has ended and nothing of it may still be at work.
+	// Whether the job has ended and none of its runs may still be running.
 	Settled bool
-	// Progress is the record as written; it is decoded only by a planner. It
-	// stands at the offset At of its topic.
-	Progress []byte
-	At       int64
-	// badJob and badProgress tell that the newest record of each could not be read.
-	badJob, badProgress bool
-	// stated is what was read of the job among the states; dropped tells that they have nothing
-	// of it any more.
-	stated  Stated
-	dropped bool
+	// Progress is the record as written; only planners decode it. ProgressOffset is its offset in
+	// its topic.
+	Progress       []byte
+	ProgressOffset int64
+	// Whether the newest record of the acceptance, or of the progress, could not be read.
+	badAcceptance, badProgress bool
+	// publishedStatus is the status last read from the topic of states; statusDropped reports that
+	// the topic no longer has one.
+	publishedStatus Status
+	statusDropped   bool
 }
 
-// Book folds the log's records. It is safe for concurrent use.
+// Book holds the state of all jobs, folded from the records of the log. It is safe for concurrent
+// use.
 type Book struct {
 	mu      sync.Mutex
 	entries map[JobID]*Entry
 	pending map[string]int
-	// fresh are jobs that were accepted or cancelled since Fresh was called.
-	fresh map[JobID]bool
-	// unstated are jobs of which the states do not say what the book knows.
-	unstated map[JobID]bool
-	wake     chan struct{}
+	// changed are the jobs that were accepted or cancelled since the last call of Fresh.
+	changed map[JobID]bool
+	// unpublished are the jobs whose published status differs from the book's.
+	unpublished map[JobID]bool
+	notify      chan struct{}
 }
 
 // NewBook returns an empty book.
 func NewBook() *Book {
-	return &Book{entries: map[JobID]*Entry{}, pending: map[string]int{}, fresh: map[JobID]bool{}, unstated: map[JobID]bool{}, wake: make(chan struct{}, 1)}
+	return &Book{entries: map[JobID]*Entry{}, pending: map[string]int{}, changed: map[JobID]bool{}, unpublished: map[JobID]bool{}, notify: make(chan struct{}, 1)}
 }
 
-// Wake is signalled when Fresh has something new.
-func (b *Book) Wake() <-chan struct{} { return b.wake }
+// Wake returns a channel that is signalled when Fresh has new jobs.
+func (b *Book) Wake() <-chan struct{} { return b.notify }
 
 // Fresh returns the jobs that were accepted or cancelled since the last call.
 func (b *Book) Fresh() []JobID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]JobID, 0, len(b.fresh))
-	for id := range b.fresh {
+	out := make([]JobID, 0, len(b.changed))
+	for id := range b.changed {
 		out = append(out, id)
 	}
-	clear(b.fresh)
+	clear(b.changed)
 	return out
 }
 
-func (b *Book) freshen(id JobID) {
-	b.fresh[id] = true
+func (b *Book) markChanged(id JobID) {
+	b.changed[id] = true
 	select {
-	case b.wake <- struct{}{}:
+	case b.notify <- struct{}{}:
 	default:
 	}
 }
@@ -96,16 +97,15 @@
 func (b *Book) entry(id JobID) *Entry {
 	e := b.entries[id]
 	if e == nil {
-		e = &Entry{State: Queued, At: -1}
+		e = &Entry{State: Queued, ProgressOffset: -1}
 		b.entries[id] = e
 	}
 	return e
 }
 
-// Fold takes one record in; records of other kinds are passed over. Records may
-// come twice and, as a planner folds its own before it reads them, out of
-// order: of a job's progress the one with the highest offset stands, of its
-// acceptance the first that was read.
+// Fold applies one record; records of other kinds are ignored. Records may be read twice and, as a
+// planner folds its own records before it reads them, out of order: of a job's progress the record
+// with the highest offset counts, of its acceptance the first that is read.
 func (b *Book) Fold(offset int64, key string, value []byte) error {
 	if len(key) < 2 {
 		return nil
@@ -114,7 +114,7 @@
 	defer b.mu.Unlock()
 	id := JobID(key[2:])
 	if len(value) == 0 {
-		b.drop(id, key[:2])
+		b.dropRecord(id, key[:2])
 		return nil
 	}
 	switch key[:2] {
@@ -124,43 +124,43 @@
 		if e := b.entries[id]; e != nil && e.Cancelled {
 			return nil
 		}
-		b.change(id, func(e *Entry) { e.Cancelled = true })
-		b.freshen(id)
+		b.update(id, func(e *Entry) { e.Cancelled = true })
+		b.markChanged(id)
 	case progressPrefix:
 		return b.foldProgress(id, offset, value)
-	case statedPrefix:
-		return b.foldStated(id, value)
+	case statusPrefix:
+		return b.foldStatus(id, value)
 	}
 	return nil
 }
 
-// drop forgets what a key held. A job's progress outlives its acceptance.
-func (b *Book) drop(id JobID, prefix string) {
+// dropRecord removes what a deleted key held. A job's progress outlives its acceptance.
+func (b *Book) dropRecord(id JobID, prefix string) {
 	e := b.entries[id]
 	if e == nil {
 		return
 	}
 	switch {
-	case prefix == progressPrefix, prefix == statedPrefix && e.At < 0:
-		b.count(e, -1)
+	case prefix == progressPrefix, prefix == statusPrefix && e.ProgressOffset < 0:
+		b.adjustPending(e, -1)
 		delete(b.entries, id)
-		delete(b.unstated, id)
-	case prefix == statedPrefix:
-		e.dropped = true
+		delete(b.unpublished, id)
+	case prefix == statusPrefix:
+		e.statusDropped = true
 	case prefix == acceptedPrefix:
-		b.change(id, func(e *Entry) { e.Job, e.Accepted = nil, false })
+		b.update(id, func(e *Entry) { e.Job, e.Accepted = nil, false })
 	}
 }
 
-// Expired lists the jobs whose end is older than keep and whose acceptance is
-// still there, and those whose end is older than keep and gap and whose
-// progress is all that is left. A job's acceptance is dropped first: progress
-// without acceptance is nothing, acceptance without progress is a new job.
-func (b *Book) Expired(nowMS int64, keep, gap time.Duration, most int) (accepted, progress []JobID) {
+// Expired lists the jobs that ended more than keep ago and whose acceptance is still there, and
+// those that ended more than keep and gap ago and of which only the progress is left. The
+// acceptance is deleted first because progress without an acceptance is ignored, whereas an
+// acceptance without progress is a new job.
+func (b *Book) Expired(nowMS int64, keep, gap time.Duration, limit int) (accepted, progress []JobID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, e := range b.entries {
-		if len(accepted)+len(progress) >= most {
+		if len(accepted)+len(progress) >= limit {
 			break
 		}
 		if !e.State.Final() || e.EndedMS == 0 {
@@ -178,30 +178,30 @@
 }
 
 func (b *Book) foldAccepted(id JobID, value []byte) error {
-	known := b.entries[id]
-	if known != nil && known.Job != nil && (known.Job.Reduced || !isReduced(value)) {
+	entry := b.entries[id]
+	if entry != nil && entry.Job != nil && (entry.Job.Reduced || !isReduced(value)) {
 		return nil
 	}
-	job, err := readJob(id, value)
+	job, err := decodeAcceptance(id, value)
 	if err != nil {
-		b.change(id, func(e *Entry) { e.badJob = true })
+		b.update(id, func(e *Entry) { e.badAcceptance = true })
 		return err
 	}
-	b.change(id, func(e *Entry) { e.Job, e.Accepted, e.Queue, e.badJob = job, true, job.Queue, false })
+	b.update(id, func(e *Entry) { e.Job, e.Accepted, e.Queue, e.badAcceptance = job, true, job.Queue, false })
 	if job.Reduced {
 		return nil
 	}
-	b.freshen(id)
+	b.markChanged(id)
 	return nil
 }
 
-// readJob reads a job's acceptance.
-func readJob(id JobID, value []byte) (*Job, error) {
+// decodeAcceptance decodes and validates a job's acceptance.
+func decodeAcceptance(id JobID, value []byte) (*Job, error) {
 	job := &Job{}
 	if err := json.Unmarshal(value, job); err != nil {
 		return nil, err
 	}
-	return job, job.checkRecord(id)
+	return job, job.validateRecord(id)
 }
 
 type progressHead struct {
@@ -212,47 +212,46 @@
 }
 
 func (b *Book) foldProgress(id JobID, offset int64, value []byte) error {
-	if e := b.entries[id]; e != nil && e.At >= offset {
+	if e := b.entries[id]; e != nil && e.ProgressOffset >= offset {
 		return nil
 	}
 	head := progressHead{}
 	if err := json.Unmarshal(value, &head); err != nil {
-		// What was read before is not the newest.
-		b.change(id, func(e *Entry) { e.Progress, e.At, e.Settled, e.badProgress = nil, offset, false, true })
+		// The progress read before is no longer the newest.
+		b.update(id, func(e *Entry) { e.Progress, e.ProgressOffset, e.Settled, e.badProgress = nil, offset, false, true })
 		return err
 	}
-	b.change(id, func(e *Entry) {
+	b.update(id, func(e *Entry) {
 		e.badProgress = false
-		e.reach(head.State, head.Begun, head.EndedMS)
+		e.advance(head.State, head.Begun, head.EndedMS)
 		e.Settled = head.State.Final() && len(head.Open) == 0
 		e.Progress = value
-		e.At = offset
+		e.ProgressOffset = offset
 	})
 	return nil
 }
 
-// change applies f, and keeps the count of jobs that have not begun and the list
-// of those that are not stated.
-func (b *Book) change(id JobID, f func(*Entry)) {
+// update applies a change to an entry, and keeps the counts of jobs that have not started and the
+// set of unpublished statuses up to date.
+func (b *Book) update(id JobID, apply func(*Entry)) {
 	e := b.entry(id)
-	b.count(e, -1)
-	f(e)
-	b.count(e, 1)
-	if e.Accepted && e.stated != e.statement() {
-		b.unstated[id] = true
+	b.adjustPending(e, -1)
+	apply(e)
+	b.adjustPending(e, 1)
+	if e.Accepted && e.publishedStatus != e.status() {
+		b.unpublished[id] = true
 	} else {
-		delete(b.unstated, id)
+		delete(b.unpublished, id)
 	}
 }
 
-func (b *Book) count(e *Entry, by int) {
+func (b *Book) adjustPending(e *Entry, by int) {
 	if e.Accepted && !e.Begun && !e.Cancelled && !e.State.Final() {
 		b.pending[e.Queue] += by
 	}
 }
 
-// Get returns a copy of a job's entry; ok is false for a job that nobody
-// handed in.
+// Get returns a copy of a job's entry; ok is false for a job that was never submitted.
 func (b *Book) Get(id JobID) (Entry, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -263,23 +262,23 @@
 	return *e, true
 }
 
-// Complete tells whether the acceptance and the progress of every job that a planner has
-// worked on and that has not ended were read. States, progress and acceptances are read
-// apart. A planner that does not know a job takes its runs for strange, and one that does not
-// know its progress begins it anew.
+// Complete reports whether the acceptance and the progress of every unfinished job that a planner
+// has worked on have been read. States, progress and acceptances are read from separate topics. A
+// planner without a job's acceptance would treat its runs as unregistered, and one without its
+// progress would restart it.
 func (b *Book) Complete() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.entries {
-		if !e.complete() {
+		if !e.isComplete() {
 			return false
 		}
 	}
 	return true
 }
 
-// complete tells whether nothing of a job is missing that is still to be read.
-func (e *Entry) complete() bool {
+// isComplete reports whether no record of the job is still to be read.
+func (e *Entry) isComplete() bool {
 	if e.State.Final() || e.Unreadable() {
 		return true
 	}
@@ -287,37 +286,38 @@
 	return (e.Job != nil || !recorded) && (recorded || !e.Begun)
 }
 
-// Census counts the jobs of a book that have not ended.
-type Census struct {
-	// Open are all of them, Unaccepted those whose acceptance was not read, Unrecorded those
-	// that have begun and whose progress was not read.
+// OpenJobCounts counts the jobs of a book that have not ended.
+type OpenJobCounts struct {
+	// Open counts all of them, Unaccepted those whose acceptance has not been read, Unrecorded
+	// those that have started and whose progress has not been read.
 	Open, Unaccepted, Unrecorded int
 }
 
-// Census counts what a planner would take over.
-func (b *Book) Census() Census {
+// Census counts the jobs that a planner would take over.
+func (b *Book) Census() OpenJobCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := Census{}
+	counts := OpenJobCounts{}
 	for _, e := range b.entries {
 		if e.State.Final() || (!e.Accepted && len(e.Progress) == 0) {
 			continue
 		}
-		out.Open++
+		counts.Open++
 		if e.Job == nil {
-			out.Unaccepted++
+			counts.Unaccepted++
 		}
 		if e.Begun && len(e.Progress) == 0 {
-			out.Unrecorded++
+			counts.Unrecorded++
 		}
 	}
-	return out
+	return counts
 }
 
-// Unreadable tells that the newest record of the job's acceptance or progress could not be read.
-func (e *Entry) Unreadable() bool { return e.badJob || e.badProgress }
+// Unreadable reports whether the newest record of the job's acceptance or progress could not be
+// read.
+func (e *Entry) Unreadable() bool { return e.badAcceptance || e.badProgress }
 
-// Shown is the state that callers see.
+// Shown returns the state that callers see.
 func (e Entry) Shown() State {
 	if e.Cancelled && !e.State.Final() {
 		return Cancelled
@@ -325,14 +325,14 @@
 	return e.State
 }
 
-// Pending returns how many accepted jobs of a queue have not begun.
+// Pending returns how many accepted jobs of a queue have not started.
 func (b *Book) Pending(queue string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.pending[queue]
 }
 
-// All calls f with a copy of the entry of each job whose acceptance was read.
+// All calls f with a copy of the entry of each job whose acceptance has been read.
 func (b *Book) All(f func(JobID, Entry)) {
 	b.mu.Lock()
 	entries := make(map[JobID]Entry, len(b.entries))
--- a/workload/doc.go
+++ b/workload/doc.go
@@ -1,8 +1,7 @@
-// Package workload holds the model of submitted jobs: steps of tasks in an
-// order, their progress, and the book that folds both from the log. It has no
-// clock, no network and no policy.
+// Package workload holds the model of submitted jobs: ordered steps of tasks, their progress, and
+// the book, which folds both from the log. It uses no clock and no network and contains no
+// scheduling policy.
 //
-// Units: processors are in thousandths of a core, memory in MiB, accelerators
-// are whole devices, times are milliseconds since 1970 where their name ends
-// in MS.
+// Units: processors are in thousandths of a core, memory is in MiB, accelerators are whole
+// devices, and times whose name ends in MS are milliseconds since 1970.
 package workload
--- a/workload/foreign_test.go
+++ b/workload/foreign_test.go
@@ -7,40 +7,40 @@
 	"pgregory.net/rapid"
 )
 
-// Records of another writer in our own topics: what can't be a job is refused, and the
-// jobs beside it hold.
-func TestRecordsOfAnotherWriterAreNoJobs(t *testing.T) {
+// Another writer may put records into our topics: those that can't be jobs are refused, and the
+// other jobs are unaffected.
+func TestForeignRecordsAreNotReadAsJobs(t *testing.T) {
 	const id = JobID("00000000000000aa")
 	for name, value := range map[string]string{
-		"no JSON":                  "\xff{",
-		"an array":                 "[]",
-		"another job's":            `{"id":"00000000000000bb","steps":[{"count":1}]}`,
-		"nobody's":                 `{"steps":[{"count":1}]}`,
-		"a negative count":         `{"id":"00000000000000aa","steps":[{"count":-1}]}`,
-		"a huge count":             `{"id":"00000000000000aa","steps":[{"count":1000000000}]}`,
-		"a step that is not there": `{"id":"00000000000000aa","steps":[{"count":1,"depends_on":[7]}]}`,
-		"itself before it":         `{"id":"00000000000000aa","steps":[{"count":1,"depends_on":[0]}]}`,
-		"a need below zero":        `{"id":"00000000000000aa","steps":[{"count":1,"need":{"accelerators":-1}}]}`,
-		"endless repetitions":      `{"id":"00000000000000aa","steps":[{"count":1}],"repetitions":99999999999}`,
-		"steps of another type":    `{"id":"00000000000000aa","steps":7}`,
+		"invalid JSON":           "\xff{",
+		"an array":               "[]",
+		"another job's id":       `{"id":"00000000000000bb","steps":[{"count":1}]}`,
+		"no id":                  `{"steps":[{"count":1}]}`,
+		"a negative count":       `{"id":"00000000000000aa","steps":[{"count":-1}]}`,
+		"a huge count":           `{"id":"00000000000000aa","steps":[{"count":1000000000}]}`,
+		"a missing dependency":   `{"id":"00000000000000aa","steps":[{"count":1,"depends_on":[7]}]}`,
+		"a dependency on itself": `{"id":"00000000000000aa","steps":[{"count":1,"depends_on":[0]}]}`,
+		"a negative need":        `{"id":"00000000000000aa","steps":[{"count":1,"need":{"accelerators":-1}}]}`,
+		"too many repetitions":   `{"id":"00000000000000aa","steps":[{"count":1}],"repetitions":99999999999}`,
+		"steps of another type":  `{"id":"00000000000000aa","steps":7}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewBook()
-			fold(t, b, 0, AcceptedKey("00000000000000cc"), accepted(t, "00000000000000cc", "q"))
+			fold(t, b, 0, AcceptedKey("00000000000000cc"), acceptance(t, "00000000000000cc", "q"))
 			if err := b.Fold(1, AcceptedKey(id), []byte(value)); err == nil {
 				e, _ := b.Get(id)
-				t.Errorf("taken for %+v", e.Job)
+				t.Errorf("the record was read as %+v", e.Job)
 			}
 			if e, known := b.Get("00000000000000cc"); !known || e.Job == nil {
-				t.Error("the other job is gone")
+				t.Error("the other job is lost")
 			}
 		})
 	}
 }
 
-func TestProgressOfAnotherShapeIsNotTheJobs(t *testing.T) {
+func TestProgressThatDoesNotMatchTheJobIsRefused(t *testing.T) {
 	job := &Job{ID: "00000000000000aa", Steps: []Step{{Count: 2}, {Count: 1}}}
-	for value, good := range map[string]bool{
+	for value, valid := range map[string]bool{
 		`{"next":1,"open":[{"s":[[{},{}],[{}]]}]}`: true,
 		`{}`:                                             true,
 		`{"next":1,"open":[null]}`:                       false,
@@ -58,14 +58,14 @@
 		if err := json.Unmarshal([]byte(value), p); err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Check(job); (err == nil) != good {
-			t.Errorf("%s: %v", value, err)
+		if err := p.Check(job); (err == nil) != valid {
+			t.Errorf("progress %s: %v", value, err)
 		}
 	}
 }
 
-// What a planner writes of a job is always the job's.
-func TestProgressThatWasMadeIsTheJobs(t *testing.T) {
+// Progress that a planner creates for a job always passes the check against that job.
+func TestCreatedProgressMatchesTheJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := &Job{ID: "00000000000000aa", Repetitions: rapid.IntRange(0, 4).Draw(t, "repetitions")}
 		for range rapid.IntRange(1, 4).Draw(t, "steps") {
@@ -86,8 +86,8 @@
 	})
 }
 
-// Whatever bytes stand under whatever key, taking them in ends, and a job that results
-// can be worked on.
+// Folding any bytes under any key terminates, and progress can be created for every job that
+// results.
 func FuzzFold(f *testing.F) {
 	f.Add("a/00000000000000aa", []byte(`{"id":"00000000000000aa","steps":[{"count":2},{"count":1,"depends_on":[0]}]}`))
 	f.Add("p/00000000000000aa", []byte(`{"state":"running","open":[null]}`))
--- a/workload/job.go
+++ b/workload/job.go
@@ -8,26 +8,26 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Bounds of a submission.
+// Limits of a submission.
 const (
-	// MaxSpec is the longest spec, in bytes.
-	MaxSpec = 4000
+	// MaxSpecBytes is the largest size of a spec.
+	MaxSpecBytes = 4000
 	// MaxSteps is the largest number of steps of a job.
 	MaxSteps = 100
-	// MaxTasks is the largest number of tasks of one occurrence of a job, and of
-	// all its occurrences that are open at once. A job's progress is one record of
-	// the log, and has to stay below what a record may hold.
+	// MaxTasks is the largest number of tasks of one occurrence of a job, and of all its
+	// occurrences that are open at once. A job's progress is one record of the log and must not
+	// exceed the record size limit.
 	MaxTasks = 2_000
 	// MaxRepetitions is the largest number of occurrences.
 	MaxRepetitions = 1_000_000
 	idLength       = 16
 )
 
-// JobID identifies a job; its caller chooses it.
+// JobID identifies a job; the caller chooses it.
 type JobID string
 
-// Valid tells whether the id is made of 16 hexadecimal digits.
-func (id JobID) Valid() bool {
+// IsValid reports whether the id consists of 16 hexadecimal digits.
+func (id JobID) IsValid() bool {
 	if len(id) != idLength {
 		return false
 	}
@@ -39,7 +39,7 @@
 	return true
 }
 
-// Resources is an amount of what a worker has and a task needs.
+// Resources is an amount of the resources that a worker has or a task needs.
 type Resources struct {
 	MilliCPU     int64 `json:"c,omitempty"`
 	MemoryMiB    int64 `json:"m,omitempty"`
@@ -56,24 +56,24 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMiB - o.MemoryMiB, r.Accelerators - o.Accelerators}
 }
 
-// Fits tells whether r is available in o, component by component.
+// Fits reports whether each component of r is at most that of o.
 func (r Resources) Fits(o Resources) bool {
 	return r.MilliCPU <= o.MilliCPU && r.MemoryMiB <= o.MemoryMiB && r.Accelerators <= o.Accelerators
 }
 
-// Short tells whether any component is below zero.
+// Short reports whether any component is negative.
 func (r Resources) Short() bool {
 	return r.MilliCPU < 0 || r.MemoryMiB < 0 || r.Accelerators < 0
 }
 
-// Count returns how many times unit fits into r, at most limit.
+// Count returns how many times unit fits into r, up to limit.
 func (r Resources) Count(unit Resources, limit int) int {
-	n := boundBy(limit, r.MilliCPU, unit.MilliCPU)
-	n = boundBy(n, r.MemoryMiB, unit.MemoryMiB)
-	return boundBy(n, r.Accelerators, unit.Accelerators)
+	n := limitBy(limit, r.MilliCPU, unit.MilliCPU)
+	n = limitBy(n, r.MemoryMiB, unit.MemoryMiB)
+	return limitBy(n, r.Accelerators, unit.Accelerators)
 }
 
-func boundBy(n int, have, need int64) int {
+func limitBy(n int, have, need int64) int {
 	if need <= 0 {
 		return n
 	}
@@ -83,47 +83,49 @@
 	return int(min(int64(n), have/need))
 }
 
-// CoreEquivalent weighs accelerators against cores: one counts as 8 cores.
+// CoreEquivalent converts the processors and accelerators to cores; an accelerator counts as 8
+// cores.
 func (r Resources) CoreEquivalent() float64 {
 	return float64(r.MilliCPU)/1000 + 8*float64(r.Accelerators)
 }
 
-// Step is a set of equal tasks.
+// Step is a set of identical tasks.
 type Step struct {
-	// Count is the number of tasks, 1 or more.
+	// Count is the number of tasks, at least 1.
 	Count int       `json:"n"`
 	Need  Resources `json:"r"`
 	// EstimateMS is the caller's rough estimate of a task's run time.
 	EstimateMS int64 `json:"e,omitempty"`
-	// DependsOn lists earlier steps that have to be complete first.
+	// DependsOn lists earlier steps that have to complete first.
 	DependsOn []int `json:"d,omitempty"`
 	// Checkpoint means that a task saves its progress.
 	Checkpoint bool `json:"k,omitempty"`
-	// Gang means that the tasks work only together.
+	// Gang means that the tasks have to run together.
 	Gang bool `json:"g,omitempty"`
-	// SameRack means that the tasks slow down when they span racks.
+	// SameRack means that the tasks run more slowly if they span racks.
 	SameRack bool `json:"s,omitempty"`
-	// Speculative means that copies of a task may run at once.
+	// Speculative means that several copies of a task may run at once.
 	Speculative bool `json:"p,omitempty"`
 	// Perpetual tasks run until the job is cancelled.
 	Perpetual bool `json:"l,omitempty"`
-	// Fills means that the processor need is not counted against a worker.
+	// Whether the processor need is not counted against the worker's capacity.
 	Fills bool `json:"f,omitempty"`
-	// Label is one that the worker must carry.
+	// Label is a label that the worker must have.
 	Label string `json:"b,omitempty"`
 	// DataRack is the rack that holds the data.
 	DataRack string `json:"w,omitempty"`
-	// Spread is the most tasks of one occurrence on a worker; 0 is no bound.
+	// Largest number of tasks of one occurrence on a worker; 0 is unlimited.
 	Spread int `json:"q,omitempty"`
-	// Image names what runs; tasks of an image behave alike.
+	// Image names the program; tasks of one image behave alike.
 	Image string `json:"i,omitempty"`
-	// TargetMS bounds the latency tail of a perpetual task.
+	// Bound on the tail latency of a perpetual task.
 	TargetMS int64 `json:"t,omitempty"`
-	// MayMiss is how many perpetual tasks may be away at once by our own action.
+	// Largest number of perpetual tasks that the planner may make unavailable at once by its own
+	// actions.
 	MayMiss int `json:"y,omitempty"`
 }
 
-// Counted returns what a task of the step takes of a worker's capacity.
+// Counted returns the resources that a task of the step takes from a worker's capacity.
 func (s Step) Counted() Resources {
 	need := s.Need
 	if s.Fills {
@@ -132,27 +134,27 @@
 	return need
 }
 
-// Terms are what the configuration said of a job's queue when it was accepted.
-// They hold on for jobs whose queue has left the configuration since.
+// Terms are the settings of a job's queue at the time when the job was accepted. They stay in
+// force even if the queue is removed from the configuration.
 type Terms struct {
 	// Service names the workers that run the queue's tasks.
 	Service string `json:"service"`
 	// Priority orders queues; 0 goes first and may preempt others.
 	Priority int `json:"priority"`
-	// Attempts is how often a task may fail before its job does.
+	// Attempts is how often a task may fail before its job fails.
 	Attempts int `json:"attempts"`
-	// Stretch and TargetMS make the objective: Stretch times the job's longest
-	// chain of work, and TargetMS more.
+	// Stretch and TargetMS define the objective: a job is to end within Stretch times its longest
+	// chain of work plus TargetMS.
 	Stretch  float64 `json:"stretch"`
 	TargetMS int64   `json:"target"`
-	// Advice is set where only workers that the queue's policy allows may run a
-	// step, and says how long the service that knows them takes; nil is no policy.
+	// Advice is set if the queue's policy restricts which workers may run a step, and describes
+	// the service that decides on them; nil means no restriction.
 	Advice *Advice `json:"advice,omitempty"`
 }
 
-// Advice is what asking which workers may run a step costs.
+// Advice describes the cost of asking which workers may run a step.
 type Advice struct {
-	// DecideMS is what a call takes, EachMS what each worker named adds, in
+	// DecideMS is the duration of a call and EachMS the additional time per worker named in it, in
 	// milliseconds.
 	DecideMS int64 `json:"decide"`
 	EachMS   int64 `json:"each"`
@@ -164,23 +166,23 @@
 type Job struct {
 	ID      JobID            `json:"id"`
 	Account domain.AccountID `json:"account,omitempty"`
-	// Queue is the route by which the job came.
+	// Queue is the route by which the job was submitted.
 	Queue      string `json:"queue"`
 	Spec       string `json:"spec"`
 	Steps      []Step `json:"steps"`
 	AcceptedMS int64  `json:"at"`
 	Terms      Terms  `json:"terms"`
-	// Reduced tells that the job has ended and that its spec and steps were
-	// dropped (see Reduce).
+	// Reduced reports that the job has ended and that its spec and steps were dropped (see
+	// Reduce).
 	Reduced bool `json:"reduced,omitempty"`
-	// Repetitions above 0 is the number of occurrences; occurrence k is due at
-	// FirstMS + k IntervalMS.
+	// Repetitions is the number of occurrences if positive; occurrence k is due at FirstMS +
+	// k*IntervalMS.
 	Repetitions int   `json:"times,omitempty"`
 	FirstMS     int64 `json:"first,omitempty"`
 	IntervalMS  int64 `json:"every,omitempty"`
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns how many times the steps run.
 func (j *Job) Occurrences() int { return max(1, j.Repetitions) }
 
 // Tasks returns the number of tasks of one occurrence.
@@ -192,7 +194,7 @@
 	return total
 }
 
-// DueMS returns when occurrence k may begin.
+// DueMS returns when occurrence k may start.
 func (j *Job) DueMS(k int) int64 {
 	if j.Repetitions == 0 {
 		return j.AcceptedMS
@@ -200,8 +202,8 @@
 	return j.FirstMS + int64(k)*j.IntervalMS
 }
 
-// Perpetual tells whether the job never completes by itself.
-func (j *Job) Perpetual() bool {
+// IsPerpetual reports whether the job never completes by itself.
+func (j *Job) IsPerpetual() bool {
 	for _, s := range j.Steps {
 		if s.Perpetual {
 			return true
@@ -210,8 +212,8 @@
 	return false
 }
 
-// ClaimAccelerators is what the job needs of its account's guarantee while it
-// has not ended: all of its first step, and no less than its widest step.
+// ClaimAccelerators is the number of accelerators that the job takes of its account's guarantee
+// until it ends: those of its widest step.
 func (j *Job) ClaimAccelerators() int64 {
 	most := int64(0)
 	for _, s := range j.Steps {
@@ -220,88 +222,88 @@
 	return most
 }
 
-// Check returns a refusal that names the first wrong field, or nil.
+// Check returns a refusal that names the first invalid field, or nil.
 func (j *Job) Check() error {
-	if !j.ID.Valid() {
-		return invalid("id", "the id is not made of 16 hexadecimal digits", "choose another id")
+	if !j.ID.IsValid() {
+		return invalidField("id", "the id does not consist of 16 hexadecimal digits", "choose another id")
 	}
-	if len(j.Spec) > MaxSpec {
-		return invalid("spec", fmt.Sprintf("%d bytes are too long", len(j.Spec)), fmt.Sprintf("send at most %d bytes", MaxSpec))
+	if len(j.Spec) > MaxSpecBytes {
+		return invalidField("spec", fmt.Sprintf("the spec has %d bytes", len(j.Spec)), fmt.Sprintf("send at most %d bytes", MaxSpecBytes))
 	}
 	if len(j.Steps) == 0 || len(j.Steps) > MaxSteps {
-		return invalid("steps", fmt.Sprintf("there are %d steps", len(j.Steps)), fmt.Sprintf("send 1 to %d", MaxSteps))
+		return invalidField("steps", fmt.Sprintf("the job has %d steps", len(j.Steps)), fmt.Sprintf("send 1 to %d", MaxSteps))
 	}
 	if j.Repetitions < 0 || j.Repetitions > MaxRepetitions || j.FirstMS < 0 || j.IntervalMS < 0 {
-		return invalid("repetitions", "a schedule has no negative or unbounded values", "send a schedule within bounds")
+		return invalidField("repetitions", "the schedule has a negative or too large value", "send a schedule within bounds")
 	}
-	return j.checkSteps()
+	return j.validateSteps()
 }
 
-// checkRecord refuses an acceptance that no instance has written and of which something
-// could start: one whose step depends on a step that is not there would end every planner
-// that reads it, and the tasks of one under another job's key would be nobody's.
-func (j *Job) checkRecord(id JobID) error {
+// validateRecord refuses acceptances that no instance writes and that would do harm if they were
+// started: a dependency on a missing step would crash every planner that reads it, and the tasks
+// of a job under another job's key would belong to no job.
+func (j *Job) validateRecord(id JobID) error {
 	if len(j.Steps) > 0 && j.ID != id {
-		return invalid("id", fmt.Sprintf("the record of job %s is of job %s", id, j.ID), "write it under the job's own key")
+		return invalidField("id", fmt.Sprintf("the record under the key of job %s holds job %s", id, j.ID), "write it under the job's own key")
 	}
 	if len(j.Steps) > MaxSteps || j.Repetitions < 0 || j.Repetitions > MaxRepetitions {
-		return invalid("steps", fmt.Sprintf("there are %d steps, %d times", len(j.Steps), j.Repetitions), "write a job within bounds")
+		return invalidField("steps", fmt.Sprintf("the job has %d steps and %d repetitions", len(j.Steps), j.Repetitions), "write a job within bounds")
 	}
-	return j.checkSteps()
+	return j.validateSteps()
 }
 
-func (j *Job) checkSteps() error {
+func (j *Job) validateSteps() error {
 	total := 0
 	for i, s := range j.Steps {
-		if err := s.check(i); err != nil {
+		if err := s.validate(i); err != nil {
 			return err
 		}
 		total += s.Count
 		if total > MaxTasks {
-			return invalid("count", "there are too many tasks", fmt.Sprintf("send at most %d", MaxTasks))
+			return invalidField("count", "the job has too many tasks", fmt.Sprintf("send at most %d", MaxTasks))
 		}
 	}
 	return nil
 }
 
-func (s Step) check(index int) error {
+func (s Step) validate(index int) error {
 	if s.Count < 1 || s.Count > MaxTasks {
-		return invalid("count", fmt.Sprintf("step %d has %d tasks", index, s.Count), fmt.Sprintf("send 1 to %d", MaxTasks))
+		return invalidField("count", fmt.Sprintf("step %d has %d tasks", index, s.Count), fmt.Sprintf("send 1 to %d", MaxTasks))
 	}
 	if s.Need.MilliCPU < 0 || s.Need.MemoryMiB < 0 || s.Need.Accelerators < 0 || s.EstimateMS < 0 || s.Spread < 0 || s.TargetMS < 0 || s.MayMiss < 0 {
-		return invalid("steps", fmt.Sprintf("step %d has a negative amount", index), "send amounts of 0 or more")
+		return invalidField("steps", fmt.Sprintf("step %d has a negative amount", index), "send amounts of 0 or more")
 	}
 	for _, d := range s.DependsOn {
 		if d < 0 || d >= index {
-			return invalid("depends_on", fmt.Sprintf("step %d depends on step %d", index, d), "name earlier steps only")
+			return invalidField("depends_on", fmt.Sprintf("step %d depends on step %d", index, d), "name earlier steps only")
 		}
 	}
 	return nil
 }
 
-func invalid(field, message, remedy string) error {
+func invalidField(field, message, remedy string) error {
 	return domain.Refuse(domain.ReasonInvalid, field, message, remedy)
 }
 
-// Features names what a job asks for beyond plain tasks, for the event log.
+// Features lists what a job uses beyond plain tasks, for the event log.
 func (j *Job) Features() string {
-	seen := map[string]bool{}
+	used := map[string]bool{}
 	for _, s := range j.Steps {
-		seen["depends_on"] = seen["depends_on"] || len(s.DependsOn) > 0
-		seen["gang"] = seen["gang"] || s.Gang
-		seen["same-rack"] = seen["same-rack"] || s.SameRack
-		seen["data-rack"] = seen["data-rack"] || s.DataRack != ""
-		seen["label"] = seen["label"] || s.Label != ""
-		seen["spread"] = seen["spread"] || s.Spread > 0
-		seen["checkpoint"] = seen["checkpoint"] || s.Checkpoint
-		seen["speculative"] = seen["speculative"] || s.Speculative
-		seen["perpetual"] = seen["perpetual"] || s.Perpetual
-		seen["fills"] = seen["fills"] || s.Fills
+		used["depends_on"] = used["depends_on"] || len(s.DependsOn) > 0
+		used["gang"] = used["gang"] || s.Gang
+		used["same-rack"] = used["same-rack"] || s.SameRack
+		used["data-rack"] = used["data-rack"] || s.DataRack != ""
+		used["label"] = used["label"] || s.Label != ""
+		used["spread"] = used["spread"] || s.Spread > 0
+		used["checkpoint"] = used["checkpoint"] || s.Checkpoint
+		used["speculative"] = used["speculative"] || s.Speculative
+		used["perpetual"] = used["perpetual"] || s.Perpetual
+		used["fills"] = used["fills"] || s.Fills
 	}
-	seen["scheduled"] = j.Repetitions > 0
+	used["scheduled"] = j.Repetitions > 0
 	var out []string
-	for name, there := range seen {
-		if there {
+	for name, isUsed := range used {
+		if isUsed {
 			out = append(out, name)
 		}
 	}
--- a/workload/reduce.go
+++ b/workload/reduce.go
@@ -5,31 +5,31 @@
 	"encoding/json"
 )
 
-// A job's acceptance is most of what is known of it: its spec and its steps. Once
-// the job has ended and nothing of it may be at work any more, nobody needs them:
-// callers ask for its state alone. The planner then replaces the acceptance by a
-// reduced one, so that an instance that comes back reads little of what is over.
+// A job's acceptance, with its spec and steps, is most of its data. It is not needed once the job
+// has ended and none of its runs may still be running, since callers then ask only for the state.
+// The planner therefore replaces the acceptance by a reduced one, so that a restarting instance
+// reads little about finished jobs.
 
-// reducedMark is how a reduced acceptance begins; Reduce writes it.
-var reducedMark = []byte(`{"reduced":true`)
+// reducedPrefix is how a reduced acceptance begins; Reduce writes it.
+var reducedPrefix = []byte(`{"reduced":true`)
 
-func isReduced(value []byte) bool { return bytes.HasPrefix(value, reducedMark) }
+func isReduced(value []byte) bool { return bytes.HasPrefix(value, reducedPrefix) }
 
-// reduced is a reduced acceptance; its first field tells it from a whole one.
-type reduced struct {
+// reducedAcceptance is a reduced acceptance; its first field distinguishes it from a full one.
+type reducedAcceptance struct {
 	Reduced bool   `json:"reduced"`
 	ID      JobID  `json:"id"`
 	Queue   string `json:"queue"`
 }
 
-// Reducible lists jobs that have ended for good and whose acceptance is whole.
-// Those that callers handed in again since are among them.
-func (b *Book) Reducible(most int) []JobID {
+// Reducible lists the jobs that have ended, have no runs left and still have a full acceptance,
+// including jobs that callers have submitted again since.
+func (b *Book) Reducible(limit int) []JobID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []JobID
 	for id, e := range b.entries {
-		if len(out) >= most {
+		if len(out) >= limit {
 			break
 		}
 		if e.Settled && e.Job != nil && !e.Job.Reduced {
@@ -45,6 +45,6 @@
 	if !known || !e.Settled || e.Job == nil {
 		return nil, false
 	}
-	value, err := json.Marshal(reduced{true, id, e.Job.Queue})
+	value, err := json.Marshal(reducedAcceptance{true, id, e.Job.Queue})
 	return value, err == nil
 }
--- a/workload/unreadable_test.go
+++ b/workload/unreadable_test.go
@@ -2,34 +2,34 @@
 
 import "testing"
 
-// A record that can't be read says nothing of the records that replace it, nor of a book that
-// was emptied since.
-func TestAnUnreadableRecordCountsOnlyUntilItIsReplaced(t *testing.T) {
+// An unreadable record must no longer count once it is replaced, nor after the book is shed.
+func TestUnreadableRecordCountsOnlyUntilItIsReplaced(t *testing.T) {
 	b := NewBook()
-	fold(t, b, 0, AcceptedKey("a"), accepted(t, "a", "q"))
+	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
 	fold(t, b, 0, StatedKey("a"), []byte(`{"q":"q","s":"running","b":true}`))
 	if b.Fold(1, ProgressKey("a"), []byte("[")) == nil {
-		t.Fatal("the record is readable")
+		t.Fatal("the record was readable")
 	}
 	fold(t, b, 2, ProgressKey("a"), []byte(`{"state":"running","begun":true}`))
 	b.Shed()
-	fold(t, b, 0, AcceptedKey("a"), accepted(t, "a", "q"))
+	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
 	if b.Complete() {
-		t.Fatal("a book is complete without the progress of a job that has begun, whose newest record is readable")
+		t.Fatal("the book is complete without the progress of a started job whose newest record is readable")
 	}
 }
 
-// Progress that was read says nothing once a newer record of it was read that is unreadable.
-func TestProgressBeforeAnUnreadableRecordIsNotHandedOut(t *testing.T) {
+// Once a newer, unreadable progress record was read, the older progress must not be handed to a
+// planner.
+func TestProgressOlderThanAnUnreadableRecordIsNotReturned(t *testing.T) {
 	b := NewBook()
-	fold(t, b, 0, AcceptedKey("a"), accepted(t, "a", "q"))
+	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
 	fold(t, b, 1, ProgressKey("a"), []byte(`{"state":"running","begun":true}`))
 	if b.Fold(2, ProgressKey("a"), []byte("[")) == nil {
-		t.Fatal("the record is readable")
+		t.Fatal("the record was readable")
 	}
 	b.All(func(id JobID, e Entry) {
 		if e.Unreadable() && len(e.Progress) > 0 {
-			t.Errorf("%s is handed to a planner with progress that is not its newest", id)
+			t.Errorf("job %s is handed to a planner with outdated progress", id)
 		}
 	})
 }
