--- a/workload/decide/fitlimits.go
+++ b/workload/decide/fitlimits.go
@@ -29,26 +29,26 @@
 
 const noLimit = 1 << 30
 
-func (b fitLimits) get(s shape) fitLimit {
-	if limit, known := b[s]; known {
+func (l fitLimits) get(s shape) fitLimit {
+	if limit, known := l[s]; known {
 		return limit
 	}
 	return fitLimit{noLimit, noLimit}
 }
 
 // lowerTotal records that fewer than n tasks fit over all workers.
-func (b fitLimits) lowerTotal(s shape, n int) {
-	limit := b.get(s)
+func (l fitLimits) lowerTotal(s shape, n int) {
+	limit := l.get(s)
 	limit.total = min(limit.total, n-1)
 	limit.perRack = min(limit.perRack, n-1)
-	b[s] = limit
+	l[s] = limit
 }
 
 // lowerPerRack records that fewer than n tasks fit in any rack.
-func (b fitLimits) lowerPerRack(s shape, n int) {
-	limit := b.get(s)
+func (l fitLimits) lowerPerRack(s shape, n int) {
+	limit := l.get(s)
 	limit.perRack = min(limit.perRack, n-1)
-	b[s] = limit
+	l[s] = limit
 }
 
 func (p *planner) shapeOf(u *Unit, class speedClass) shape {
--- a/workload/decide/groups.go
+++ b/workload/decide/groups.go
@@ -29,30 +29,30 @@
 }
 
 // workersOf lists the open workers that a group runs on.
-func (h *groupIndex) workersOf(group int) []workerAllocation { return h.byGroup[group] }
+func (g *groupIndex) workersOf(group int) []workerAllocation { return g.byGroup[group] }
 
 func newGroupIndex(s *Snapshot, workers []*workerState) *groupIndex {
 	byID := make(map[string]*workerState, len(workers))
 	for _, w := range workers {
 		byID[w.ID] = w
 	}
-	h := &groupIndex{byWorker: make([][]groupAllocation, len(workers)), byGroup: make([][]workerAllocation, len(s.Running))}
+	index := &groupIndex{byWorker: make([][]groupAllocation, len(workers)), byGroup: make([][]workerAllocation, len(s.Running))}
 	for i := range s.Running {
 		for _, held := range s.Running[i].Held {
 			w := byID[held.Worker]
 			if w == nil {
 				continue
 			}
-			h.byGroup[i] = append(h.byGroup[i], workerAllocation{w, held.Resources})
-			h.byWorker[w.index] = append(h.byWorker[w.index], groupAllocation{i, held.Resources})
+			index.byGroup[i] = append(index.byGroup[i], workerAllocation{w, held.Resources})
+			index.byWorker[w.index] = append(index.byWorker[w.index], groupAllocation{i, held.Resources})
 		}
 	}
-	for _, list := range h.byWorker {
+	for _, list := range index.byWorker {
 		slices.SortStableFunc(list, func(a, b groupAllocation) int {
 			return compareFloats(a.lostPerAccelerator(s), b.lostPerAccelerator(s))
 		})
 	}
-	return h
+	return index
 }
 
 func compareFloats(a, b float64) int {
@@ -67,6 +67,6 @@
 
 // lostPerAccelerator is the work that stopping the group throws away for each accelerator that it
 // frees on the worker.
-func (h groupAllocation) lostPerAccelerator(s *Snapshot) float64 {
-	return s.Running[h.group].Lost / (0.01 + float64(h.Accelerators))
+func (a groupAllocation) lostPerAccelerator(s *Snapshot) float64 {
+	return s.Running[a.group].Lost / (0.01 + float64(a.Accelerators))
 }
--- a/workload/decide/preempt.go
+++ b/workload/decide/preempt.go
@@ -12,18 +12,18 @@
 	if !u.Guaranteed && p.snapshot.Without[StopBeyondGuarantee] {
 		return false
 	}
-	best := p.findVictims(u, hasLowerPriority)
-	if best == nil && u.Guaranteed {
+	victims := p.findVictims(u, hasLowerPriority)
+	if victims == nil && u.Guaranteed {
 		// Work of the same priority has the same value, so it is stopped last.
-		best = p.findVictims(u, isBorrower)
+		victims = p.findVictims(u, isBorrower)
 	}
-	if best == nil || (!u.Guaranteed && best.lost > u.totalWork()) {
+	if victims == nil || (!u.Guaranteed && victims.lost > u.totalWork()) {
 		return false
 	}
-	for _, v := range best.victims {
-		p.stop(v)
+	for _, group := range victims.groups {
+		p.stop(group)
 	}
-	p.reserve(u, best.placements)
+	p.reserve(u, victims.placements)
 	return true
 }
 
@@ -45,7 +45,7 @@
 }
 
 type victimSet struct {
-	victims    []int
+	groups     []int
 	lost       float64
 	placements []placement
 }
@@ -64,14 +64,14 @@
 func (p *planner) findVictims(u *Unit, canStop victimFilter) *victimSet {
 	if u.Step.SameRack {
 		for _, class := range p.classOrder(u) {
-			if best := p.findVictimsInOneRack(u, canStop, class); best != nil {
-				return best
+			if victims := p.findVictimsInOneRack(u, canStop, class); victims != nil {
+				return victims
 			}
 		}
 	}
 	for _, class := range p.classOrder(u) {
-		if best := p.victimsOn(u, p.workersIn(class), canStop); best != nil {
-			return best
+		if victims := p.victimsOn(u, p.workersIn(class), canStop); victims != nil {
+			return victims
 		}
 	}
 	return nil
--- a/workload/decide/victims.go
+++ b/workload/decide/victims.go
@@ -51,12 +51,12 @@
 		if best == nil {
 			return nil
 		}
-		for _, h := range best.nextStops {
-			s.choose(h.group)
+		for _, alloc := range best.nextStops {
+			s.choose(alloc.group)
 		}
 	}
 	kept := s.prune(n)
-	set := &victimSet{victims: kept, placements: p.findPlacements(u, workers, n, searchedCapacity)}
+	set := &victimSet{groups: kept, placements: p.findPlacements(u, workers, n, searchedCapacity)}
 	for _, g := range kept {
 		set.lost += p.snapshot.Running[g].Lost
 	}
@@ -73,9 +73,9 @@
 			continue
 		}
 		c := &candidate{w: w}
-		for _, h := range p.groups.byWorker[w.index] {
-			if g := &p.snapshot.Running[h.group]; !g.Stopping && !g.Fixed && !p.stopped[h.group] && canStop(u, g) {
-				c.stoppable = append(c.stoppable, h)
+		for _, alloc := range p.groups.byWorker[w.index] {
+			if g := &p.snapshot.Running[alloc.group]; !g.Stopping && !g.Fixed && !p.stopped[alloc.group] && canStop(u, g) {
+				c.stoppable = append(c.stoppable, alloc)
 			}
 		}
 		w.candidate = c
@@ -98,8 +98,8 @@
 	total := 0
 	for _, c := range s.candidates {
 		capacity := searchedCapacity.on(c.w)
-		for _, h := range c.stoppable {
-			capacity = capacity.Add(h.Resources)
+		for _, alloc := range c.stoppable {
+			capacity = capacity.Add(alloc.Resources)
 		}
 		total += s.fitCount(c, capacity)
 	}
@@ -118,12 +118,12 @@
 
 // adjust adds what a group holds to the capacity that would be freed, or subtracts it again.
 func (s *victimSearch) adjust(group int, by func(a, b workload.Resources) workload.Resources) {
-	for _, h := range s.p.groups.workersOf(group) {
-		c := h.w.candidate
+	for _, alloc := range s.p.groups.workersOf(group) {
+		c := alloc.w.candidate
 		if c == nil {
 			continue
 		}
-		c.freed = by(c.freed, h.Resources)
+		c.freed = by(c.freed, alloc.Resources)
 		c.current = false
 		s.fitting -= c.fits
 		c.fits = s.fitCount(c, searchedCapacity.on(c.w))
@@ -157,21 +157,21 @@
 	c.current, c.nextStops, c.cost = true, nil, 0
 	capacity := searchedCapacity.on(c.w)
 	var stops []groupAllocation
-	for _, h := range c.stoppable {
-		if slices.Contains(s.chosen, h.group) {
+	for _, alloc := range c.stoppable {
+		if slices.Contains(s.chosen, alloc.group) {
 			continue
 		}
-		capacity = capacity.Add(h.Resources)
-		stops = append(stops, h)
+		capacity = capacity.Add(alloc.Resources)
+		stops = append(stops, alloc)
 		if s.fitCount(c, capacity) > c.fits {
 			break
 		}
 	}
 	c.nextStops = s.dropUnneeded(c, stops, capacity)
 	capacity = searchedCapacity.on(c.w)
-	for _, h := range c.nextStops {
-		capacity = capacity.Add(h.Resources)
-		c.cost += s.p.snapshot.Running[h.group].Lost
+	for _, alloc := range c.nextStops {
+		capacity = capacity.Add(alloc.Resources)
+		c.cost += s.p.snapshot.Running[alloc.group].Lost
 	}
 	c.gain = s.fitCount(c, capacity) - c.fits
 }
