--- a/instance/instance.go
+++ b/instance/instance.go
@@ -254,7 +254,7 @@
 }
 
 func (in *Instance) follow(stream port.Stream, from func() int64, apply func(port.Entry), behind func(context.Context, int64) error) {
-	in.followers[stream] = &state.Follower{Log: in.platform, Stream: stream, From: from, Behind: behind, Apply: func(e port.Entry) {
+	in.followers[stream] = &state.Follower{Log: in.platform, Stream: stream, From: from, OnTruncated: behind, Apply: func(e port.Entry) {
 		apply(e)
 		in.journal.Seen(stream, e)
 	}}
--- a/instance/operator.go
+++ b/instance/operator.go
@@ -391,7 +391,7 @@
 }
 
 func (in *Instance) logAgeMs() int64 {
-	age := in.followers[state.JobStream(in.Settings.DataCentre)].Age()
+	age := in.followers[state.JobStream(in.Settings.DataCentre)].SinceLastRead()
 	if age < 0 {
 		return -1
 	}
--- a/instance/records.go
+++ b/instance/records.go
@@ -303,7 +303,7 @@
 
 // logAway tells whether the log can't be read at the moment.
 func (in *Instance) logAway() bool {
-	age := in.followers[state.JobStream(in.Settings.DataCentre)].Age()
+	age := in.followers[state.JobStream(in.Settings.DataCentre)].SinceLastRead()
 	return age < 0 || age > logAwayAfter
 }
 
--- a/state/follower.go
+++ b/state/follower.go
@@ -8,36 +8,36 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// Follower reads one stream from an offset on and hands every entry over in
-// order. A reader that has fallen behind the log's retention is told the
-// oldest offset, so that it can load a snapshot.
+// Follower reads one stream from an offset onwards and applies every entry in
+// order. If entries that it has not read are past the log's retention, it
+// reports the oldest offset that is left, so that a snapshot can be loaded.
 type Follower struct {
 	Log    port.Log
 	Stream port.Stream
-	// From returns the offset to read from next.
+	// From returns the offset to read next.
 	From func() int64
-	// Apply takes one entry.
+	// Apply applies one entry.
 	Apply func(port.Entry)
-	// Behind is called when entries before oldest are gone; it may load a
-	// snapshot. After an error, which says that it could not find out whether
-	// there is one, the read is repeated and nothing is applied. May be nil.
-	Behind func(ctx context.Context, oldest int64) error
+	// OnTruncated is called when entries before oldest are gone from the log; it
+	// may load a snapshot. It returns an error if it could not find out whether
+	// there is one: the read is then repeated and nothing is applied. May be nil.
+	OnTruncated func(ctx context.Context, oldest int64) error
 
 	lastRead atomic.Int64 // unix nanoseconds of the last successful read
 	caughtUp atomic.Bool
 }
 
-// readTimeout bounds one read, which may wait for a record.
+// readTimeout bounds one read, which may wait for new records.
 const readTimeout = 5 * time.Second
 
-// readRetry is the base of the pause after a failed read.
+// readRetry is the base of the backoff after failed reads.
 const readRetry = 50 * time.Millisecond
 
 // Run reads until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		if err := f.step(ctx); err == nil {
+		if err := f.readOnce(ctx); err == nil {
 			failures = 0
 			continue
 		}
@@ -49,7 +49,7 @@
 	}
 }
 
-func (f *Follower) step(ctx context.Context) error {
+func (f *Follower) readOnce(ctx context.Context) error {
 	from := f.From()
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	page, err := f.Log.Read(readCtx, f.Stream, from)
@@ -57,12 +57,12 @@
 	if err != nil {
 		return err
 	}
-	if page.Oldest > from && f.Behind != nil {
-		if err := f.Behind(ctx, page.Oldest); err != nil {
+	if page.Oldest > from && f.OnTruncated != nil {
+		if err := f.OnTruncated(ctx, page.Oldest); err != nil {
 			return err
 		}
 		if f.From() > page.Next {
-			return nil // a snapshot covers what was read
+			return nil // the snapshot covers the entries that were read
 		}
 	}
 	for _, entry := range page.Entries {
@@ -73,12 +73,12 @@
 	return nil
 }
 
-// CaughtUp tells whether the last read reached the end of the stream.
+// CaughtUp reports whether the last read reached the end of the stream.
 func (f *Follower) CaughtUp() bool { return f.caughtUp.Load() }
 
-// Age returns the time since the last successful read, or a negative duration
-// when there was none.
-func (f *Follower) Age() time.Duration {
+// SinceLastRead returns the time since the last successful read, or a negative
+// duration if there was none.
+func (f *Follower) SinceLastRead() time.Duration {
 	last := f.lastRead.Load()
 	if last == 0 {
 		return -1
--- a/state/image_test.go
+++ b/state/image_test.go
@@ -9,8 +9,8 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// passOn returns the state of an instance that took an image over as JSON.
-func passOn(t *rapid.T, from *Jobs) *Jobs {
+// restoreFromImage returns a state loaded from an image that went through JSON.
+func restoreFromImage(t *rapid.T, from *Jobs) *Jobs {
 	raw, err := json.Marshal(from.Image())
 	if err != nil {
 		t.Fatal(err)
@@ -24,8 +24,9 @@
 	return to
 }
 
-// A job whose end was read before its acceptance has ended, also for an instance that took the state over between the two.
-func TestAnEndBeforeItsAcceptanceCountsAcrossAnImage(t *testing.T) {
+// Guards against restarting an ended job: its end may be read before its
+// acceptance, and an instance may load an image that was taken between the two.
+func TestImageCarriesEndReadBeforeAcceptance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := drawJobLog(t)
 		accepted, rest := log[:len(jobIDs)], log[len(jobIDs):]
@@ -36,7 +37,7 @@
 		}
 		cut := rapid.IntRange(0, len(late)).Draw(t, "image after")
 		foldFrom(t, before, late[:cut], 0)
-		after := passOn(t, before)
+		after := restoreFromImage(t, before)
 		foldFrom(t, after, late[cut:], int64(cut))
 		for _, id := range jobIDs {
 			a, _ := plain.Get(id)
--- a/state/jobs.go
+++ b/state/jobs.go
@@ -14,63 +14,65 @@
 	"github.com/cobalttide/cobalttide/scheduler/guarantee"
 )
 
-// Status is what is known of one job.
+// Status is the folded state of one job.
 type Status struct {
 	Job    domain.Job      `json:"job"`
 	Digest string          `json:"digest"`
 	State  domain.JobState `json:"state"`
-	// Gang is the newest attempt; its Attempt is 0 before the first.
+	// Gang identifies the newest attempt; its Attempt is 0 before the first.
 	Gang       domain.Incarnation `json:"gang"`
 	Placement  domain.Placement   `json:"placement,omitempty"`
 	Guaranteed bool               `json:"guaranteed,omitempty"`
-	// CancelRequested is set once the caller has asked for the job's end.
+	// CancelRequested is set once the caller has cancelled the job.
 	CancelRequested bool              `json:"cancel_requested,omitempty"`
 	Cause           string            `json:"cause,omitempty"`
 	Result          string            `json:"result,omitempty"`
 	FailedOn        []domain.WorkerID `json:"failed_on,omitempty"`
-	// Contended is set when an attempt was started while the log did not say
-	// that the one before had ended: both may run, so a job that must not run
+	// Contended is set when an attempt was started before the log recorded the
+	// end of the previous one: both may be running, so a job that must not run
 	// twice is not started again.
 	Contended bool `json:"contended,omitempty"`
-	// Failures counts attempts whose tasks failed.
+	// Failures counts the attempts whose tasks failed.
 	Failures int `json:"failures,omitempty"`
-	// Crashes counts attempts that ended with a worker's crash.
+	// Crashes counts the attempts that ended with a worker's crash.
 	Crashes  int       `json:"crashes,omitempty"`
 	Started  time.Time `json:"started,omitzero"`
 	Finished time.Time `json:"finished,omitzero"`
 }
 
-// keptFinal bounds how many ended jobs are remembered for their callers.
-const keptFinal = 10_000
+// maxEndedJobs bounds the ended jobs that are kept for status queries.
+const maxEndedJobs = 10_000
 
-// Jobs is the folded state of one data centre's jobs. Every fold is idempotent,
-// so records may arrive twice. Safe for concurrent use.
+// Jobs is the folded state of one data centre's jobs. Folding is idempotent, so
+// records may arrive more than once. It is safe for concurrent use.
 type Jobs struct {
-	mu      sync.Mutex
-	jobs    map[domain.JobID]*Status
-	active  map[domain.JobID]*Status
-	final   []domain.JobID
-	binding guarantee.Binding
-	// offset follows the last entry folded; version counts changes.
-	offset  int64
-	version uint64
-	waiters map[domain.JobID][]chan struct{}
-	// early are records of jobs that are not known yet, in the order in which
-	// they came; earlyOrder bounds them.
-	early      map[domain.JobID][]port.Record
-	earlyOrder []domain.JobID
+	mu     sync.Mutex
+	jobs   map[domain.JobID]*Status
+	active map[domain.JobID]*Status
+	// endedOrder lists the ended jobs that are kept, oldest first.
+	endedOrder []domain.JobID
+	binding    guarantee.Binding
+	// offset is the one after the last folded entry; version counts changes.
+	offset   int64
+	version  uint64
+	watchers map[domain.JobID][]chan struct{}
+	// deferred holds records of jobs whose acceptance has not been read yet, in
+	// order of arrival; deferredOrder lists these jobs, oldest first.
+	deferred      map[domain.JobID][]port.Record
+	deferredOrder []domain.JobID
 }
 
-// keptEarly bounds the jobs whose records are kept ahead of their acceptance.
-const keptEarly = 10_000
+// maxDeferredJobs bounds the jobs whose records are kept until their acceptance
+// is read.
+const maxDeferredJobs = 10_000
 
 // NewJobs returns an empty state.
 func NewJobs() *Jobs {
 	return &Jobs{
-		jobs:    map[domain.JobID]*Status{},
-		active:  map[domain.JobID]*Status{},
-		waiters: map[domain.JobID][]chan struct{}{},
-		early:   map[domain.JobID][]port.Record{},
+		jobs:     map[domain.JobID]*Status{},
+		active:   map[domain.JobID]*Status{},
+		watchers: map[domain.JobID][]chan struct{}{},
+		deferred: map[domain.JobID][]port.Record{},
 	}
 }
 
@@ -85,8 +87,8 @@
 	return *status, true
 }
 
-// Active returns the jobs that have not ended, in order of id, and the version
-// of the state that they are from.
+// Active returns the jobs that have not ended, sorted by id, and the version of
+// the state that they were read from.
 func (j *Jobs) Active() ([]Status, uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -98,21 +100,21 @@
 	return out, j.version
 }
 
-// Version counts the changes folded so far.
+// Version returns the number of changes folded so far.
 func (j *Jobs) Version() uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.version
 }
 
-// Binding returns the newest published cells.
+// Binding returns the most recently published cells of the guarantees.
 func (j *Jobs) Binding() guarantee.Binding {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.binding
 }
 
-// Offset returns the offset to read from next.
+// Offset returns the offset to read next.
 func (j *Jobs) Offset() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -124,11 +126,12 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	ch := make(chan struct{})
-	j.waiters[id] = append(j.waiters[id], ch)
+	j.watchers[id] = append(j.watchers[id], ch)
 	return ch
 }
 
-// FoldEntry folds one entry of the log.
+// FoldEntry folds one entry of the log and advances the offset past it, also if
+// its record can't be read.
 func (j *Jobs) FoldEntry(entry port.Entry) error {
 	err := j.Fold(entry.Record)
 	j.mu.Lock()
@@ -138,8 +141,8 @@
 }
 
 // Fold folds one record. Unknown kinds have no effect. Records that were held
-// in memory while the log was away reach it in any order, so what is said of a
-// job before its acceptance counts once that comes.
+// in memory while the log was unreachable are appended to it in any order, so
+// records that precede their job's acceptance are applied once that is read.
 func (j *Jobs) Fold(record port.Record) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -149,82 +152,83 @@
 func (j *Jobs) fold(record port.Record) error {
 	switch record.Kind {
 	case KindAccepted:
-		return fold(record, j.accepted)
+		return decodeAndApply(record, j.applyAccepted)
 	case KindCancel:
-		return fold(record, func(c Cancel) { j.ifKnown(c.Job, record, func() { j.cancel(c) }) })
+		return decodeAndApply(record, func(c Cancel) { j.applyOrDefer(c.Job, record, func() { j.applyCancel(c) }) })
 	case KindStarted:
-		return fold(record, func(s Started) { j.ifKnown(s.Gang.Job, record, func() { j.started(s) }) })
+		return decodeAndApply(record, func(s Started) { j.applyOrDefer(s.Gang.Job, record, func() { j.applyStarted(s) }) })
 	case KindRequeued:
-		return fold(record, func(r Requeued) { j.ifKnown(r.Gang.Job, record, func() { j.requeued(r) }) })
+		return decodeAndApply(record, func(r Requeued) { j.applyOrDefer(r.Gang.Job, record, func() { j.applyRequeued(r) }) })
 	case KindEnded:
-		return fold(record, func(e Ended) { j.ifKnown(e.Job, record, func() { j.ended(e) }) })
+		return decodeAndApply(record, func(e Ended) { j.applyOrDefer(e.Job, record, func() { j.applyEnded(e) }) })
 	case KindBinding:
-		return fold(record, j.bound)
+		return decodeAndApply(record, j.applyBinding)
 	}
 	return nil
 }
 
-// ifKnown applies what a record says of a job, or keeps the record until the
-// job is known.
-func (j *Jobs) ifKnown(id domain.JobID, record port.Record, apply func()) {
+// applyOrDefer calls apply if the job is known; otherwise it keeps the record
+// until the job's acceptance is read.
+func (j *Jobs) applyOrDefer(id domain.JobID, record port.Record, apply func()) {
 	if _, known := j.jobs[id]; known {
 		apply()
 		return
 	}
-	if j.early[id] == nil {
-		j.earlyOrder = append(j.earlyOrder, id)
-		if len(j.earlyOrder) > keptEarly {
-			delete(j.early, j.earlyOrder[0])
-			j.earlyOrder = j.earlyOrder[1:]
+	if j.deferred[id] == nil {
+		j.deferredOrder = append(j.deferredOrder, id)
+		if len(j.deferredOrder) > maxDeferredJobs {
+			delete(j.deferred, j.deferredOrder[0])
+			j.deferredOrder = j.deferredOrder[1:]
 		}
 	}
-	j.early[id] = append(j.early[id], record)
+	j.deferred[id] = append(j.deferred[id], record)
 }
 
-func fold[T any](record port.Record, apply func(T)) error {
+func decodeAndApply[T any](record port.Record, apply func(T)) error {
 	var payload T
 	if err := json.Unmarshal(record.Data, &payload); err != nil {
-		return errors.Wrapf(err, "record %s of kind %s is not readable; it is passed over", record.ID, record.Kind)
+		return errors.Wrapf(err, "record %s of kind %s can't be decoded and is skipped", record.ID, record.Kind)
 	}
 	apply(payload)
 	return nil
 }
 
-func (j *Jobs) changed(id domain.JobID) {
+// recordChange counts a change of a job and wakes its watchers.
+func (j *Jobs) recordChange(id domain.JobID) {
 	j.version++
-	for _, ch := range j.waiters[id] {
+	for _, ch := range j.watchers[id] {
 		close(ch)
 	}
-	delete(j.waiters, id)
+	delete(j.watchers, id)
 }
 
-func (j *Jobs) accepted(a Accepted) {
+func (j *Jobs) applyAccepted(a Accepted) {
 	if _, known := j.jobs[a.Job.ID]; known {
 		return
 	}
 	status := &Status{Job: a.Job, Digest: a.Digest, State: domain.JobWaiting}
 	j.jobs[a.Job.ID] = status
 	j.active[a.Job.ID] = status
-	j.changed(a.Job.ID)
-	early := j.early[a.Job.ID]
-	delete(j.early, a.Job.ID)
-	for _, record := range early {
-		_ = j.fold(record) // it was decoded before it was kept
+	j.recordChange(a.Job.ID)
+	deferred := j.deferred[a.Job.ID]
+	delete(j.deferred, a.Job.ID)
+	for _, record := range deferred {
+		_ = j.fold(record) // it was decoded before it was deferred
 	}
 }
 
-func (j *Jobs) cancel(c Cancel) {
+func (j *Jobs) applyCancel(c Cancel) {
 	status, ok := j.active[c.Job]
 	if !ok || status.CancelRequested {
 		return
 	}
 	status.CancelRequested = true
-	j.changed(c.Job)
+	j.recordChange(c.Job)
 }
 
-// started counts only for an attempt newer than every one seen, so that an
-// append that was repeated does not bring an old attempt back.
-func (j *Jobs) started(s Started) {
+// applyStarted ignores an attempt that is not newer than the last one seen, so
+// that a repeated append does not restore an old attempt.
+func (j *Jobs) applyStarted(s Started) {
 	status, ok := j.active[s.Gang.Job]
 	if !ok || !s.Gang.Newer(status.Gang) {
 		return
@@ -237,10 +241,10 @@
 	status.Placement = s.Placement
 	status.Guaranteed = s.Guaranteed
 	status.Started = s.At
-	j.changed(s.Gang.Job)
+	j.recordChange(s.Gang.Job)
 }
 
-func (j *Jobs) requeued(r Requeued) {
+func (j *Jobs) applyRequeued(r Requeued) {
 	status, ok := j.active[r.Gang.Job]
 	if !ok || status.Gang.Newer(r.Gang) || (status.Gang == r.Gang && status.State == domain.JobWaiting) {
 		return
@@ -256,10 +260,10 @@
 	if r.Crashed {
 		status.Crashes++
 	}
-	j.changed(r.Gang.Job)
+	j.recordChange(r.Gang.Job)
 }
 
-func (j *Jobs) ended(e Ended) {
+func (j *Jobs) applyEnded(e Ended) {
 	status, ok := j.active[e.Job]
 	if !ok {
 		return
@@ -269,34 +273,36 @@
 	status.Result = e.Result
 	status.Finished = e.At
 	delete(j.active, e.Job)
-	j.final = append(j.final, e.Job)
-	if len(j.final) > keptFinal {
-		delete(j.jobs, j.final[0])
-		j.final = j.final[1:]
+	j.endedOrder = append(j.endedOrder, e.Job)
+	if len(j.endedOrder) > maxEndedJobs {
+		delete(j.jobs, j.endedOrder[0])
+		j.endedOrder = j.endedOrder[1:]
 	}
-	j.changed(e.Job)
+	j.recordChange(e.Job)
 }
 
-func (j *Jobs) bound(b BindingChanged) {
+func (j *Jobs) applyBinding(b BindingChanged) {
 	j.binding = b.Binding
 	j.version++
 }
 
-// MayRun tells whether a recorded attempt may go on: it is the newest, and the
-// log shows that none before it can be under way. Ask once the fold has passed
-// the attempt's own record.
+// MayRun reports whether a recorded attempt may proceed: it is the newest, and
+// the log shows that no earlier one can still be running. Call it only after the
+// attempt's own record has been folded.
 func (j *Jobs) MayRun(gang domain.Incarnation) bool {
 	status, ok := j.Get(gang.Job)
 	return ok && status.State == domain.JobRunning && status.Gang == gang && !status.Contended
 }
 
-// Image is the whole state in the form that snapshots carry.
+// Image is the whole state in the form that is written to snapshots and sent to
+// peers.
 type Image struct {
 	Offset  int64             `json:"offset"`
 	Jobs    []Status          `json:"jobs"`
 	Binding guarantee.Binding `json:"binding"`
-	// Early are records below Offset of jobs whose acceptance was not read yet.
-	Early []port.Record `json:"early,omitempty"`
+	// Deferred holds the records below Offset of jobs whose acceptance had not
+	// been read.
+	Deferred []port.Record `json:"early,omitempty"`
 }
 
 // Image returns a copy of the state.
@@ -304,35 +310,36 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	image := Image{Offset: j.offset, Binding: j.binding, Jobs: make([]Status, 0, len(j.jobs))}
-	for _, id := range j.final {
+	for _, id := range j.endedOrder {
 		image.Jobs = append(image.Jobs, *j.jobs[id])
 	}
 	for _, status := range j.active {
 		image.Jobs = append(image.Jobs, *status)
 	}
-	for _, id := range j.earlyOrder {
-		image.Early = append(image.Early, j.early[id]...)
+	for _, id := range j.deferredOrder {
+		image.Deferred = append(image.Deferred, j.deferred[id]...)
 	}
 	return image
 }
 
-// Load replaces the state by an image, if the image is newer. An empty state
-// takes any image: a peer may hold jobs that the log does not have yet. Records
-// that the log does not have yet count on top of the image.
+// Load replaces the state by an image if the image is newer, and reports whether
+// it did. An empty state accepts any image, because a peer may have jobs that
+// are not in the log yet. held are records that are not in the log yet; they are
+// folded on top of the image.
 func (j *Jobs) Load(image Image, held ...port.Record) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	empty := len(j.jobs) == 0 && len(image.Jobs)+len(image.Early) > 0
+	empty := len(j.jobs) == 0 && len(image.Jobs)+len(image.Deferred) > 0
 	if image.Offset < j.offset || (image.Offset == j.offset && !empty) {
 		return false
 	}
 	j.jobs = make(map[domain.JobID]*Status, len(image.Jobs))
 	j.active = map[domain.JobID]*Status{}
-	j.final = nil
+	j.endedOrder = nil
 	for _, status := range image.Jobs {
 		j.jobs[status.Job.ID] = &status
 		if status.State.Final() {
-			j.final = append(j.final, status.Job.ID)
+			j.endedOrder = append(j.endedOrder, status.Job.ID)
 			continue
 		}
 		j.active[status.Job.ID] = &status
@@ -340,9 +347,9 @@
 	j.binding = image.Binding
 	j.offset = image.Offset
 	j.version++
-	j.early, j.earlyOrder = map[domain.JobID][]port.Record{}, nil
-	for _, record := range slices.Concat(image.Early, held) {
-		_ = j.fold(record) // one that can't be read is passed over, as in the log
+	j.deferred, j.deferredOrder = map[domain.JobID][]port.Record{}, nil
+	for _, record := range slices.Concat(image.Deferred, held) {
+		_ = j.fold(record) // an unreadable record is skipped, as when reading the log
 	}
 	return true
 }
--- a/state/journal.go
+++ b/state/journal.go
@@ -11,35 +11,36 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// ErrNotSent says that a record certainly is not in the log and never will be.
+// ErrNotSent means that a record is not in the log and never will be.
 var ErrNotSent = errors.New("record was not sent to the log")
 
-// ErrUncertain says that a record may be in the log or may appear later.
+// ErrUncertain means that a record may be in the log or may appear there later.
 var ErrUncertain = errors.New("record may or may not be in the log")
 
-// JournalOptions bound a journal.
+// JournalOptions holds the limits of a journal.
 type JournalOptions struct {
-	// Interval is the least time between two appends to one stream; it groups
-	// records and bounds what one instance asks of the log.
+	// Interval is the minimum time between two appends to one stream. It batches
+	// records and bounds the load of one instance on the log.
 	Interval time.Duration
 	// Timeout bounds one append.
 	Timeout time.Duration
-	// MaxBatch bounds the records of one append.
+	// MaxBatch bounds the number of records in one append.
 	MaxBatch int
-	// MaxQueue bounds the records that wait; beyond it Append is refused.
+	// MaxQueue bounds the pending records of a stream; beyond it Append fails
+	// with ErrNotSent.
 	MaxQueue int
-	// OnAppend is told of every append, for metrics; may be nil.
+	// OnAppend is called after every append, for metrics. May be nil.
 	OnAppend func(records int, err error)
 }
 
-// DefaultJournalOptions let 8 instances together make at most 160 appends a
-// second to one stream.
+// DefaultJournalOptions returns options with which 8 instances together make at
+// most 160 appends a second to one stream.
 func DefaultJournalOptions() JournalOptions {
 	return JournalOptions{Interval: 50 * time.Millisecond, Timeout: 2 * time.Second, MaxBatch: 1000, MaxQueue: 20_000}
 }
 
-// Journal groups records into few appends. At most one append a stream is
-// under way. Safe for concurrent use.
+// Journal batches records into few appends, with at most one append in flight
+// per stream. It is safe for concurrent use.
 type Journal struct {
 	log     port.Log
 	options JournalOptions
@@ -53,41 +54,42 @@
 }
 
 type queue struct {
-	pending []*item
-	wake    chan struct{}
-	last    time.Time
+	pending    []*pendingRecord
+	wake       chan struct{}
+	lastAppend time.Time
 }
 
-type item struct {
+type pendingRecord struct {
 	record port.Record
-	// keep repeats the append until the record is known to be in the log.
-	keep bool
-	// sent is set once the record has been handed to the log.
+	// retry is set if the append is repeated until the record is known to be in
+	// the log.
+	retry bool
+	// sent is set once an append has included the record.
 	sent bool
 	done chan struct{}
 	// offset and err are set before done is closed.
-	offset int64
-	err    error
-	closed bool
+	offset   int64
+	err      error
+	finished bool
 }
 
-func (i *item) finish(offset int64, err error) {
-	if i.closed {
+func (i *pendingRecord) finish(offset int64, err error) {
+	if i.finished {
 		return
 	}
-	i.closed = true
+	i.finished = true
 	i.offset, i.err = offset, err
 	close(i.done)
 }
 
-// NewJournal returns a journal that writes to the log until Close.
+// NewJournal returns a journal that appends to the log until Close is called.
 func NewJournal(log port.Log, options JournalOptions) *Journal {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Journal{log: log, options: options, queues: map[port.Stream]*queue{}, ctx: ctx, cancel: cancel}
 }
 
-// Append adds one record and returns its offset. ErrNotSent and ErrUncertain
-// tell what is known after a failure; the record is not repeated.
+// Append appends one record and returns its offset. A failure wraps ErrNotSent
+// or ErrUncertain; the append is not repeated.
 func (j *Journal) Append(ctx context.Context, stream port.Stream, record port.Record) (int64, error) {
 	it, err := j.enqueue(stream, record, false)
 	if err != nil {
@@ -101,8 +103,9 @@
 	}
 }
 
-// Keep adds a record that has to get into the log whatever the log does: it is
-// repeated until it is there. The fold's idempotence makes a double harmless.
+// Keep queues a record whose append is repeated until it succeeds, and returns a
+// channel that is closed then, or when the journal closes. The record may end up
+// in the log twice, which does no harm because folding is idempotent.
 func (j *Journal) Keep(stream port.Stream, record port.Record) (<-chan struct{}, error) {
 	it, err := j.enqueue(stream, record, true)
 	if err != nil {
@@ -111,7 +114,7 @@
 	return it.done, nil
 }
 
-func (j *Journal) enqueue(stream port.Stream, record port.Record, keep bool) (*item, error) {
+func (j *Journal) enqueue(stream port.Stream, record port.Record, retry bool) (*pendingRecord, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.closed {
@@ -124,10 +127,10 @@
 		j.wg.Add(1)
 		go j.run(stream, q)
 	}
-	if !keep && len(q.pending) >= j.options.MaxQueue {
+	if !retry && len(q.pending) >= j.options.MaxQueue {
 		return nil, errors.Wrap(ErrNotSent, "journal is full")
 	}
-	it := &item{record: record, keep: keep, done: make(chan struct{})}
+	it := &pendingRecord{record: record, retry: retry, done: make(chan struct{})}
 	q.pending = append(q.pending, it)
 	select {
 	case q.wake <- struct{}{}:
@@ -136,12 +139,12 @@
 	return it, nil
 }
 
-// withdraw takes an item back. It is certain that it was not sent only while
-// no append has carried it.
-func (j *Journal) withdraw(stream port.Stream, it *item) error {
+// withdraw removes a record that its caller no longer waits for. The result is
+// ErrNotSent only if no append has included the record.
+func (j *Journal) withdraw(stream port.Stream, it *pendingRecord) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if it.closed {
+	if it.finished {
 		return it.err
 	}
 	if it.sent {
@@ -159,8 +162,8 @@
 	return ErrNotSent
 }
 
-// Seen tells the journal that a record was read from the log: an append whose
-// answer was lost is found again this way and not repeated.
+// Seen reports that a record was read from the log, so that an append whose
+// answer was lost is not repeated.
 func (j *Journal) Seen(stream port.Stream, entry port.Entry) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -177,7 +180,7 @@
 	}
 }
 
-// Pending returns the number of records not known to be in the log.
+// Pending returns the number of records that are not known to be in the log.
 func (j *Journal) Pending() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -188,8 +191,8 @@
 	return n
 }
 
-// Close stops the journal. Records that are still pending end with an error
-// that tells whether they were sent.
+// Close stops the journal. Pending records fail with ErrUncertain if an append
+// has included them, and with ErrNotSent otherwise.
 func (j *Journal) Close() {
 	j.mu.Lock()
 	j.closed = true
@@ -203,7 +206,7 @@
 	failures := 0
 	for {
 		if !j.waitForWork(q, failures) {
-			j.abandon(q)
+			j.failPending(q)
 			return
 		}
 		if j.flush(stream, q) {
@@ -222,7 +225,7 @@
 			return false
 		}
 	}
-	pause := time.Until(q.last.Add(j.options.Interval))
+	pause := time.Until(q.lastAppend.Add(j.options.Interval))
 	if failures > 0 {
 		pause = backoff(j.options.Interval, failures)
 	}
@@ -234,10 +237,11 @@
 	}
 }
 
-// maxBackoff bounds the pause between two tries at a log that fails.
+// maxBackoff bounds the pause between two attempts at a failing log.
 const maxBackoff = 2 * time.Second
 
-// backoff is exponential with full jitter.
+// backoff returns the pause after a number of consecutive failures: exponential
+// with full jitter, up to maxBackoff.
 func backoff(base time.Duration, failures int) time.Duration {
 	limit := min(base<<min(failures, 10), maxBackoff)
 	return time.Duration(rand.Int64N(int64(limit)) + 1)
@@ -250,7 +254,7 @@
 }
 
 func (j *Journal) flush(stream port.Stream, q *queue) bool {
-	batch := j.take(q)
+	batch := j.nextBatch(q)
 	if len(batch) == 0 {
 		return true
 	}
@@ -261,31 +265,31 @@
 	ctx, cancel := context.WithTimeout(j.ctx, j.options.Timeout)
 	first, err := j.log.Append(ctx, stream, records)
 	cancel()
-	q.last = time.Now()
+	q.lastAppend = time.Now()
 	if j.options.OnAppend != nil {
 		j.options.OnAppend(len(records), err)
 	}
-	j.settle(q, batch, first, err)
+	j.completeBatch(q, batch, first, err)
 	return err == nil
 }
 
-func (j *Journal) take(q *queue) []*item {
+func (j *Journal) nextBatch(q *queue) []*pendingRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n := min(len(q.pending), j.options.MaxBatch)
-	batch := append([]*item(nil), q.pending[:n]...)
+	batch := append([]*pendingRecord(nil), q.pending[:n]...)
 	for _, it := range batch {
 		it.sent = true
 	}
 	return batch
 }
 
-func (j *Journal) settle(q *queue, batch []*item, first int64, err error) {
+func (j *Journal) completeBatch(q *queue, batch []*pendingRecord, first int64, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	done := map[*item]bool{}
+	done := map[*pendingRecord]bool{}
 	for i, it := range batch {
-		if err != nil && it.keep {
+		if err != nil && it.retry {
 			continue
 		}
 		done[it] = true
@@ -295,17 +299,17 @@
 		}
 		it.finish(first+int64(i), nil)
 	}
-	left := q.pending[:0]
+	remaining := q.pending[:0]
 	for _, it := range q.pending {
 		if !done[it] {
-			left = append(left, it)
+			remaining = append(remaining, it)
 		}
 	}
-	clear(q.pending[len(left):])
-	q.pending = left
+	clear(q.pending[len(remaining):])
+	q.pending = remaining
 }
 
-func (j *Journal) abandon(q *queue) {
+func (j *Journal) failPending(q *queue) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, it := range q.pending {
--- a/state/journal_test.go
+++ b/state/journal_test.go
@@ -34,19 +34,21 @@
 	return out
 }
 
-// journalScript is a row of appends and kept records while the log misbehaves.
-type journalScript struct {
-	kept   []bool
-	at     []time.Duration
-	faults standin.LogFaults
-	heal   time.Duration
+// journalScenario is a sequence of appends, with and without retry, during faults
+// of the log.
+type journalScenario struct {
+	kept      []bool
+	at        []time.Duration
+	faults    standin.LogFaults
+	faultsEnd time.Duration
 }
 
-// What the journal says of a record is true of the log, whatever the log does:
-// nil means once at least, ErrNotSent never, and a kept record gets in.
-func TestJournalTellsTheTruth(t *testing.T) {
+// Guards against results that contradict the log, whatever its faults: a nil
+// error means that the record is there, ErrNotSent that it never will be, and a
+// record given to Keep always gets there.
+func TestJournalResultsMatchLogContents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var s journalScript
+		var s journalScenario
 		for range rapid.IntRange(1, 30).Draw(rt, "records") {
 			s.kept = append(s.kept, rapid.Bool().Draw(rt, "kept"))
 			s.at = append(s.at, time.Duration(rapid.IntRange(0, 3000).Draw(rt, "at"))*time.Millisecond)
@@ -55,16 +57,16 @@
 			Down: rapid.Bool().Draw(rt, "down"), LoseAnswers: rapid.IntRange(0, 5).Draw(rt, "lose"),
 			Slow: domain.Duration(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "slow")) * time.Millisecond),
 		}
-		s.heal = time.Duration(rapid.IntRange(0, 20_000).Draw(rt, "heal")) * time.Millisecond
-		verdict := ""
-		synctest.Test(t, func(t *testing.T) { verdict = playJournal(t, s) })
-		if verdict != "" {
-			rt.Fatalf("%s", verdict)
+		s.faultsEnd = time.Duration(rapid.IntRange(0, 20_000).Draw(rt, "heal")) * time.Millisecond
+		mismatch := ""
+		synctest.Test(t, func(t *testing.T) { mismatch = runJournalScenario(t, s) })
+		if mismatch != "" {
+			rt.Fatalf("%s", mismatch)
 		}
 	})
 }
 
-func playJournal(t *testing.T, s journalScript) string {
+func runJournalScenario(t *testing.T, s journalScenario) string {
 	log := standin.NewLog(0)
 	log.SetFaults(s.faults)
 	journal := NewJournal(log, DefaultJournalOptions())
@@ -73,10 +75,10 @@
 	for i, kept := range s.kept {
 		wg.Go(func() {
 			time.Sleep(s.at[i])
-			results[i] = put(journal, fmt.Sprint("r", i), kept)
+			results[i] = appendOrKeep(journal, fmt.Sprint("r", i), kept)
 		})
 	}
-	time.Sleep(s.heal)
+	time.Sleep(s.faultsEnd)
 	log.SetFaults(standin.LogFaults{})
 	wg.Wait()
 	time.Sleep(time.Minute)
@@ -88,9 +90,9 @@
 		case kept && n == 0:
 			return fmt.Sprintf("kept record %d is not in the log", i)
 		case results[i] == nil && n == 0:
-			return fmt.Sprintf("record %d was confirmed and is not in the log", i)
+			return fmt.Sprintf("record %d was reported as appended and is not in the log", i)
 		case errors.Is(results[i], ErrNotSent) && n > 0:
-			return fmt.Sprintf("record %d is in the log and was said not to be", i)
+			return fmt.Sprintf("record %d was reported as not sent and is in the log", i)
 		case !kept && n > 1:
 			return fmt.Sprintf("record %d is in the log %d times", i, n)
 		}
@@ -98,7 +100,7 @@
 	return ""
 }
 
-func put(journal *Journal, id string, kept bool) error {
+func appendOrKeep(journal *Journal, id string, kept bool) error {
 	record := port.Record{ID: id, Kind: "k"}
 	if kept {
 		_, err := journal.Keep(stream, record)
@@ -144,21 +146,20 @@
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		time.Sleep(time.Nanosecond) // the append that loses its answer
+		time.Sleep(time.Nanosecond) // lets the append run whose answer is lost
 		synctest.Wait()
 		journal.Seen(stream, port.Entry{Offset: 0, Record: record})
 		<-done
 		time.Sleep(time.Minute)
 		journal.Close()
 		if n := readAll(t, log)["r"]; n != 1 {
-			t.Errorf("the record is in the log %d times", n)
+			t.Errorf("the record is in the log %d times, want 1", n)
 		}
 	})
 }
 
-// Folding is idempotent and does not depend on repeats: a log in which every
-// record may stand several times, the later ones late, folds to the same states
-// as the log without repeats.
+// Guards against folds that are not idempotent: a log in which any record may
+// be repeated later folds to the same state as the log without repeats.
 func TestRepeatedRecordsFoldToTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := drawJobLog(t)
@@ -184,10 +185,11 @@
 
 var jobIDs = []domain.JobID{"x", "y"}
 
-// Records that were held in memory reach the log in any order: a job whose end
-// stands before its acceptance has ended, and is not run again. Found by a test
-// over TCP with the log down, which failed one time in four.
-func TestWhatIsSaidBeforeAJobsAcceptanceCounts(t *testing.T) {
+// Guards against running an ended job again: records that were held in memory
+// while the log was down reach it in any order, so a job's end may precede its
+// acceptance. A test over TCP with the log down failed one time in four from
+// this.
+func TestRecordsReadBeforeAcceptanceAreApplied(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := drawJobLog(t)
 		plain, late := NewJobs(), NewJobs()
@@ -216,7 +218,7 @@
 	}
 }
 
-// drawJobLog draws what one planner after another would write.
+// drawJobLog draws the records that a succession of planners could write.
 func drawJobLog(t *rapid.T) []port.Record {
 	var out []port.Record
 	add := func(kind string, payload any) {
@@ -249,16 +251,16 @@
 	return out
 }
 
-func TestUnknownKindsAndBrokenRecordsDisturbNothing(t *testing.T) {
+func TestUnknownKindsAndUnreadableRecordsLeaveStateUnchanged(t *testing.T) {
 	jobs := NewJobs()
 	if err := jobs.Fold(port.Record{Kind: "of-a-later-version", Data: []byte(`[]`)}); err != nil {
-		t.Errorf("an unknown kind: %v", err)
+		t.Errorf("a record of an unknown kind is refused: %v", err)
 	}
 	if err := jobs.Fold(port.Record{Kind: KindEnded, Data: []byte(`{"job": 3}`)}); err == nil {
-		t.Error("a record that can't be read is not reported")
+		t.Error("a record that can't be decoded is not reported")
 	}
 	if active, _ := jobs.Active(); len(active) != 0 {
-		t.Errorf("%d jobs", len(active))
+		t.Errorf("%d active jobs, want none", len(active))
 	}
 }
 
@@ -273,7 +275,7 @@
 	}
 	loaded := NewJobs()
 	if !loaded.Load(jobs.Image()) || loaded.Offset() != 8 {
-		t.Fatalf("offset %d", loaded.Offset())
+		t.Fatalf("the image was not loaded, or the offset %d is not 8", loaded.Offset())
 	}
 	if status, ok := loaded.Get("x"); !ok || status.Digest != "d" {
 		t.Errorf("%+v", status)
@@ -283,8 +285,9 @@
 	}
 }
 
-// A job that was accepted while the log was away is not forgotten with the image of an instance that has not heard of it.
-func TestHeldRecordsCountOnTopOfAnImage(t *testing.T) {
+// Guards against losing a job that was accepted while the log was unreachable:
+// the image of a peer that has no copy of the acceptance must not remove it.
+func TestLoadAppliesHeldRecordsOnTopOfImage(t *testing.T) {
 	accepted := func(id domain.JobID) port.Record {
 		record, err := NewRecord(string(id), KindAccepted, Accepted{Job: domain.Job{ID: id}, Digest: "d"})
 		if err != nil {
@@ -306,7 +309,7 @@
 	}
 	for _, id := range []domain.JobID{"in the log", "held"} {
 		if _, ok := jobs.Get(id); !ok {
-			t.Errorf("the job %q is not known", id)
+			t.Errorf("job %q is not known after the image was loaded", id)
 		}
 	}
 }
--- a/state/records.go
+++ b/state/records.go
@@ -1,7 +1,8 @@
-// Package state keeps what must last in the platform's log: jobs and what
-// became of them. Records are folded into the same state on every instance,
-// in whatever order and however often they arrive; a Journal groups appends; a
-// Follower reads; Snapshots bound what a new instance has to read.
+// Package state stores durable state, jobs and their outcomes, in the
+// platform's log. Every instance folds the records into the same state,
+// whatever their order and however often they arrive. A Journal batches appends,
+// a Follower reads a stream, and snapshots bound what a new instance has to
+// read.
 package state
 
 import (
@@ -15,8 +16,8 @@
 	"github.com/cobalttide/cobalttide/scheduler/guarantee"
 )
 
-// The record kinds of a data centre's job stream. A daemon passes over kinds
-// that it does not know; they stay in the log for those that do.
+// The record kinds of a data centre's job stream. An instance ignores kinds
+// that it does not know; they stay in the log for instances that do.
 const (
 	KindAccepted = "job-accepted"
 	KindCancel   = "job-cancel"
@@ -26,10 +27,11 @@
 	KindBinding  = "binding"
 )
 
-// ConfigurationStream is the one stream of configuration changes.
+// ConfigurationStream is the stream of configuration changes; there is only one.
 const ConfigurationStream port.Stream = "configuration"
 
-// AttemptStream is the one stream of attempts at non-idempotent requests.
+// AttemptStream is the stream of attempts at non-idempotent requests; there is
+// only one.
 const AttemptStream port.Stream = "attempts"
 
 // JobStream returns the stream of a data centre's jobs.
@@ -37,19 +39,20 @@
 	return port.Stream("jobs/" + string(dc))
 }
 
-// Accepted makes a job known. Digest identifies the body, so that an id that
-// is reused with another one is noticed.
+// Accepted records that a job was accepted. Digest identifies the job's body, so
+// that reuse of its id with another body is detected.
 type Accepted struct {
 	Job    domain.Job `json:"job"`
 	Digest string     `json:"digest"`
 }
 
-// Cancel asks for a job's end.
+// Cancel requests a job's cancellation.
 type Cancel struct {
 	Job domain.JobID `json:"job"`
 }
 
-// Started says that an attempt has reserved its workers and may run from now.
+// Started records that an attempt has reserved its workers and may run from
+// now on.
 type Started struct {
 	Gang       domain.Incarnation `json:"gang"`
 	Placement  domain.Placement   `json:"placement"`
@@ -57,17 +60,17 @@
 	At         time.Time          `json:"at"`
 }
 
-// Requeued says that an attempt is over and its job waits again.
+// Requeued records that an attempt is over and its job waits again.
 type Requeued struct {
 	Gang  domain.Incarnation `json:"gang"`
 	Cause string             `json:"cause"`
-	// FailedOn are workers on which the job's tasks failed.
+	// FailedOn lists the workers on which the job's tasks failed.
 	FailedOn []domain.WorkerID `json:"failed_on,omitempty"`
-	// Crashed tells that the attempt ended with a worker's crash.
+	// Crashed is set if the attempt ended with a worker's crash.
 	Crashed bool `json:"crashed,omitempty"`
 }
 
-// Ended is a job's final state.
+// Ended records a job's final state.
 type Ended struct {
 	Job    domain.JobID    `json:"job"`
 	State  domain.JobState `json:"state"`
@@ -77,16 +80,16 @@
 }
 
 // BindingChanged publishes the cells of a data centre's guarantees, so that
-// the next planner keeps them where they are.
+// the next planner keeps them in place.
 type BindingChanged struct {
 	Binding guarantee.Binding `json:"binding"`
 }
 
-// NewRecord wraps a payload as a record.
+// NewRecord returns a record with the payload encoded as JSON.
 func NewRecord(id, kind string, payload any) (port.Record, error) {
 	data, err := json.Marshal(payload)
 	if err != nil {
-		return port.Record{}, errors.Wrapf(err, "encode record %s", kind)
+		return port.Record{}, errors.Wrapf(err, "encode record %s of kind %s", id, kind)
 	}
 	return port.Record{ID: id, Kind: kind, Data: data}, nil
 }
