--- a/instance/members.go
+++ b/instance/members.go
@@ -29,7 +29,7 @@
 func (m *memberTable) leave() { m.with((*membership.Table).Leave) }
 
 func (m *memberTable) present(dc domain.DataCentre) (out []membership.Member) {
-	m.with(func(t *membership.Table) { out = t.Present(dc) })
+	m.with(func(t *membership.Table) { out = t.Live(dc) })
 	return out
 }
 
@@ -83,7 +83,7 @@
 	if inventory.Versions.Backends != old.Versions.Backends {
 		in.table.Update(inventory.Backends)
 	}
-	in.members.with(func(t *membership.Table) { t.List(inventory.Instances, time.Now()) })
+	in.members.with(func(t *membership.Table) { t.AddListed(inventory.Instances, time.Now()) })
 }
 
 // fleet returns the data centre's workers as last listed.
@@ -102,7 +102,7 @@
 	p := ping{Version: in.configuration.Current().Version}
 	in.members.with(func(t *membership.Table) {
 		p.From = t.Self()
-		p.News = t.News(to)
+		p.News = t.Updates(to)
 	})
 	return p
 }
@@ -111,7 +111,7 @@
 	in.members.with(func(t *membership.Table) {
 		now := time.Now()
 		t.Merge(p.News, now)
-		t.Answered(p.From, now)
+		t.RecordAck(p.From, now)
 	})
 }
 
@@ -124,7 +124,7 @@
 		var ok bool
 		in.members.with(func(t *membership.Table) {
 			t.Tick(time.Now())
-			target, ok = t.Target(random)
+			target, ok = t.NextProbeTarget(random)
 		})
 		if ok {
 			go in.probe(ctx, target, random.Uint64())
@@ -143,7 +143,7 @@
 	if in.probeThroughOthers(ctx, target, seed) {
 		return
 	}
-	in.members.with(func(t *membership.Table) { t.Unanswered(target.ID, time.Now()) })
+	in.members.with(func(t *membership.Table) { t.RecordProbeFailure(target.ID, time.Now()) })
 }
 
 func (in *Instance) sendPing(ctx context.Context, address string, p ping, timeout time.Duration) (ping, error) {
@@ -159,7 +159,7 @@
 func (in *Instance) probeThroughOthers(ctx context.Context, target membership.Member, seed uint64) bool {
 	random := rand.New(rand.NewPCG(seed, seed))
 	var through []membership.Member
-	in.members.with(func(t *membership.Table) { through = t.Helpers(random, target.ID, helpers) })
+	in.members.with(func(t *membership.Table) { through = t.IndirectProbers(random, target.ID, helpers) })
 	for _, helper := range through {
 		p := in.newPing(helper.ID)
 		p.Target = &target
--- a/membership/table.go
+++ b/membership/table.go
@@ -1,8 +1,9 @@
-// Package membership tells who is alive, by SWIM: every instance probes one
-// peer a second and asks others to probe for it before it suspects, and news
-// travels with the probes. What a daemon sends does not grow with the number
-// of instances. From who is alive follows, by rendezvous hashing, who plans;
-// nothing unsafe follows when two instances see that differently.
+// Package membership tracks which instances are alive, with the SWIM protocol:
+// every instance probes one peer a second, asks other peers to probe a silent
+// one before it suspects it, and attaches membership updates to the probes. The
+// traffic of one instance does not grow with the number of instances. The
+// planner of a data centre is chosen among its live instances by rendezvous
+// hashing; it is safe for two instances to disagree about it.
 package membership
 
 import (
@@ -17,10 +18,11 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// State is what is believed of a member.
+// State is the state of a member as seen by one instance.
 type State string
 
-// The states. For one incarnation of a member each outranks the one before.
+// The states. Within one incarnation of a member each overrides the ones before
+// it.
 const (
 	Alive   State = "alive"
 	Suspect State = "suspect"
@@ -28,61 +30,63 @@
 	Left    State = "left"
 )
 
-var rank = map[State]int{Alive: 0, Suspect: 1, Dead: 2, Left: 3}
+var precedence = map[State]int{Alive: 0, Suspect: 1, Dead: 2, Left: 3}
 
-// Member is one instance and the newest news of it.
+// Member is one instance and its newest known state.
 type Member struct {
 	ID         domain.InstanceID `json:"id"`
 	DataCentre domain.DataCentre `json:"dc"`
 	Address    string            `json:"addr"`
 	State      State             `json:"state"`
-	// Incarnation is counted up by the member itself to refute a suspicion.
+	// Incarnation is incremented by the member itself to refute a suspicion.
 	Incarnation uint64 `json:"inc"`
 }
 
-// Options bound membership.
+// Options holds the parameters of the protocol.
 type Options struct {
-	// Suspicion is how long a suspect has to refute.
-	Suspicion time.Duration
-	// Forget is how long dead members are remembered, so that late news does
-	// not bring them back.
-	Forget time.Duration
-	// Piggyback bounds the news in one message.
-	Piggyback int
-	// DeadEvery makes every so many-th probe go to a member believed dead, so
-	// that two sides of a partition find each other again.
-	DeadEvery int
-	// RemoteEvery makes every so many-th probe go to another data centre.
-	RemoteEvery int
+	// SuspicionTimeout is how long a suspected member may take to refute the
+	// suspicion.
+	SuspicionTimeout time.Duration
+	// DeadRetention is how long dead members are kept, so that late updates do
+	// not revive them.
+	DeadRetention time.Duration
+	// MaxPiggyback bounds the updates about other members in one message.
+	MaxPiggyback int
+	// DeadProbeEvery n sends every nth probe to a dead member, so that the two
+	// sides of a partition rejoin once it has healed.
+	DeadProbeEvery int
+	// RemoteProbeEvery n sends every nth probe to another data centre.
+	RemoteProbeEvery int
 }
 
-// DefaultOptions detect a death in about three seconds.
+// DefaultOptions returns options with which a death is detected in about three
+// seconds.
 func DefaultOptions() Options {
-	return Options{Suspicion: 2 * time.Second, Forget: 10 * time.Minute, Piggyback: 8, DeadEvery: 5, RemoteEvery: 4}
+	return Options{SuspicionTimeout: 2 * time.Second, DeadRetention: 10 * time.Minute, MaxPiggyback: 8, DeadProbeEvery: 5, RemoteProbeEvery: 4}
 }
 
 type entry struct {
 	Member
 	changed time.Time
-	// sends is how often the news has been passed on.
-	sends int
-	// probed is when the member last answered this instance.
-	probed time.Time
+	// transmissions is how often the newest state has been sent to others.
+	transmissions int
+	// lastAck is when the member last answered a probe of this instance.
+	lastAck time.Time
 }
 
-func (e *entry) present() bool { return rank[e.State] < rank[Dead] }
+func (e *entry) isLive() bool { return precedence[e.State] < precedence[Dead] }
 
-// Table is what one instance believes. It has no I/O; not safe for concurrent
-// use.
+// Table holds one instance's view of the members. It does no I/O and is not safe
+// for concurrent use.
 type Table struct {
-	self    Member
-	options Options
-	members map[domain.InstanceID]*entry
-	probes  int
-	order   []domain.InstanceID
+	self       Member
+	options    Options
+	members    map[domain.InstanceID]*entry
+	probeCount int
+	probeOrder []domain.InstanceID
 }
 
-// NewTable returns a table that knows only its own instance.
+// NewTable returns a table with only the own instance in it.
 func NewTable(self Member, options Options) *Table {
 	self.State = Alive
 	return &Table{self: self, options: options, members: map[domain.InstanceID]*entry{}}
@@ -91,40 +95,42 @@
 // Self returns the own entry.
 func (t *Table) Self() Member { return t.self }
 
-// Leave makes the instance say that it leaves.
+// Leave marks the own instance as having left.
 func (t *Table) Leave() { t.self.State = Left }
 
-// List takes in the platform's list: members not heard of yet are taken for
-// alive until a probe says otherwise. A listed member that is believed dead
-// stays dead until it speaks for itself.
-func (t *Table) List(listed []port.ListedInstance, now time.Time) {
+// AddListed adds the instances of the platform's list. Unknown ones are
+// considered alive until a probe fails. A listed member that is dead stays dead
+// until it refutes that itself.
+func (t *Table) AddListed(listed []port.ListedInstance, now time.Time) {
 	for _, l := range listed {
 		if _, known := t.members[l.ID]; known || l.ID == t.self.ID || l.Leaving {
 			continue
 		}
-		t.retireAddress(l.Address, now)
+		t.markAddressReused(l.Address, now)
 		t.members[l.ID] = &entry{
 			Member:  Member{ID: l.ID, DataCentre: l.DataCentre, Address: l.Address, State: Alive},
-			changed: now, sends: math.MaxInt / 2,
+			changed: now, transmissions: math.MaxInt / 2,
 		}
 	}
 }
 
-// retireAddress ends members whose address a new instance has taken over.
-func (t *Table) retireAddress(address string, now time.Time) {
+// markAddressReused marks members as dead whose address a new instance has taken
+// over.
+func (t *Table) markAddressReused(address string, now time.Time) {
 	for _, e := range t.members {
-		if e.Address == address && rank[e.State] < rank[Dead] {
+		if e.Address == address && precedence[e.State] < precedence[Dead] {
 			e.State = Dead
 			e.changed = now
-			e.sends = 0
+			e.transmissions = 0
 		}
 	}
 }
 
-// Merge takes in news. A higher incarnation wins, then the worse state. News
-// that the own instance is suspected is refuted.
-func (t *Table) Merge(news []Member, now time.Time) {
-	for _, m := range news {
+// Merge applies updates. The higher incarnation wins, then the state with the
+// higher precedence. An update that the own instance is suspected, dead or has
+// left is refuted.
+func (t *Table) Merge(updates []Member, now time.Time) {
+	for _, m := range updates {
 		if m.ID == t.self.ID {
 			t.refute(m)
 			continue
@@ -142,136 +148,137 @@
 func (t *Table) merge(m Member, now time.Time) {
 	e, known := t.members[m.ID]
 	if !known {
-		if rank[m.State] >= rank[Dead] {
+		if precedence[m.State] >= precedence[Dead] {
 			return
 		}
-		t.retireAddress(m.Address, now)
+		t.markAddressReused(m.Address, now)
 		t.members[m.ID] = &entry{Member: m, changed: now}
 		return
 	}
 	newer := m.Incarnation > e.Incarnation
-	worse := m.Incarnation == e.Incarnation && rank[m.State] > rank[e.State]
+	worse := m.Incarnation == e.Incarnation && precedence[m.State] > precedence[e.State]
 	if newer || worse {
 		e.Member = m
 		e.changed = now
-		e.sends = 0
+		e.transmissions = 0
 	}
 }
 
-// Answered notes that a member answered, with its own word on itself.
-func (t *Table) Answered(m Member, now time.Time) {
+// RecordAck records that a member answered a probe and reported itself as m.
+func (t *Table) RecordAck(m Member, now time.Time) {
 	t.merge(m, now)
 	if e, ok := t.members[m.ID]; ok {
-		e.probed = now
+		e.lastAck = now
 		if e.State == Suspect && m.State == Alive && m.Incarnation >= e.Incarnation {
 			e.State = Alive
 			e.changed = now
-			e.sends = 0
+			e.transmissions = 0
 		}
 	}
 }
 
-// Unanswered notes that neither the member nor those asked to probe it got an
-// answer.
-func (t *Table) Unanswered(id domain.InstanceID, now time.Time) {
+// RecordProbeFailure records that a member answered neither a direct probe nor
+// an indirect one.
+func (t *Table) RecordProbeFailure(id domain.InstanceID, now time.Time) {
 	if e, ok := t.members[id]; ok && e.State == Alive {
 		e.State = Suspect
 		e.changed = now
-		e.sends = 0
+		e.transmissions = 0
 	}
 }
 
-// Tick ends suspicions and forgets the long dead.
+// Tick marks members as dead whose suspicion has timed out, and removes those
+// that have been dead or gone for DeadRetention.
 func (t *Table) Tick(now time.Time) {
 	for id, e := range t.members {
 		age := now.Sub(e.changed)
-		if e.State == Suspect && age >= t.options.Suspicion {
+		if e.State == Suspect && age >= t.options.SuspicionTimeout {
 			e.State = Dead
 			e.changed = now
-			e.sends = 0
+			e.transmissions = 0
 		}
-		if rank[e.State] >= rank[Dead] && age >= t.options.Forget {
+		if precedence[e.State] >= precedence[Dead] && age >= t.options.DeadRetention {
 			delete(t.members, id)
 		}
 	}
 }
 
-// News returns what to pass on with the next message to a member: the own
-// entry, what is believed of the receiver if that is not that it is alive, so
-// that it can refute it, and the freshest news that has not been sent often
-// enough.
-func (t *Table) News(to domain.InstanceID) []Member {
-	var fresh []*entry
-	limit := t.sendLimit()
+// Updates returns the entries to attach to the next message to a member: the own
+// entry, the receiver's entry unless it is alive, so that it can refute it, and
+// those that have been sent the fewest times and not yet often enough.
+func (t *Table) Updates(to domain.InstanceID) []Member {
+	var candidates []*entry
+	limit := t.retransmitLimit()
 	for _, e := range t.members {
-		if e.sends < limit {
-			fresh = append(fresh, e)
+		if e.transmissions < limit {
+			candidates = append(candidates, e)
 		}
 	}
-	sort.Slice(fresh, func(i, j int) bool {
-		if fresh[i].sends != fresh[j].sends {
-			return fresh[i].sends < fresh[j].sends
+	sort.Slice(candidates, func(i, j int) bool {
+		if candidates[i].transmissions != candidates[j].transmissions {
+			return candidates[i].transmissions < candidates[j].transmissions
 		}
-		return fresh[i].ID < fresh[j].ID
+		return candidates[i].ID < candidates[j].ID
 	})
 	out := []Member{t.self}
 	if e, ok := t.members[to]; ok && e.State != Alive {
 		out = append(out, e.Member)
 	}
-	for _, e := range fresh[:min(len(fresh), t.options.Piggyback)] {
-		e.sends++
+	for _, e := range candidates[:min(len(candidates), t.options.MaxPiggyback)] {
+		e.transmissions++
 		out = append(out, e.Member)
 	}
 	return out
 }
 
-// sendLimit makes sure that news reaches everybody with high probability:
-// SWIM's lambda log n.
-func (t *Table) sendLimit() int {
+// retransmitLimit returns how often an update is sent, so that it reaches all
+// members with high probability: lambda log n in SWIM.
+func (t *Table) retransmitLimit() int {
 	return 3 * int(math.Ceil(math.Log2(float64(len(t.members)+2))))
 }
 
-// Target returns the member to probe next: the own data centre's in turn, in an
-// order shuffled anew each round, and now and then one elsewhere.
-func (t *Table) Target(random *rand.Rand) (Member, bool) {
-	t.probes++
-	if t.options.DeadEvery > 0 && t.probes%t.options.DeadEvery == 0 {
-		if m, ok := t.pick(random, func(e *entry) bool { return e.State == Dead }); ok {
+// NextProbeTarget returns the member to probe next. It goes round the members of
+// the own data centre in an order that is shuffled for each round, with some
+// probes to dead members and other data centres in between.
+func (t *Table) NextProbeTarget(random *rand.Rand) (Member, bool) {
+	t.probeCount++
+	if t.options.DeadProbeEvery > 0 && t.probeCount%t.options.DeadProbeEvery == 0 {
+		if m, ok := t.randomMember(random, func(e *entry) bool { return e.State == Dead }); ok {
 			return m, true
 		}
 	}
-	if t.options.RemoteEvery > 0 && t.probes%t.options.RemoteEvery == 0 {
-		if m, ok := t.pick(random, func(e *entry) bool { return e.present() && e.DataCentre != t.self.DataCentre }); ok {
+	if t.options.RemoteProbeEvery > 0 && t.probeCount%t.options.RemoteProbeEvery == 0 {
+		if m, ok := t.randomMember(random, func(e *entry) bool { return e.isLive() && e.DataCentre != t.self.DataCentre }); ok {
 			return m, true
 		}
 	}
 	for range 2 {
-		for len(t.order) > 0 {
-			id := t.order[0]
-			t.order = t.order[1:]
-			if e, ok := t.members[id]; ok && rank[e.State] < rank[Dead] {
+		for len(t.probeOrder) > 0 {
+			id := t.probeOrder[0]
+			t.probeOrder = t.probeOrder[1:]
+			if e, ok := t.members[id]; ok && precedence[e.State] < precedence[Dead] {
 				return e.Member, true
 			}
 		}
-		t.shuffle(random)
+		t.startProbeRound(random)
 	}
-	return t.pick(random, (*entry).present)
+	return t.randomMember(random, (*entry).isLive)
 }
 
-func (t *Table) shuffle(random *rand.Rand) {
+func (t *Table) startProbeRound(random *rand.Rand) {
 	for id, e := range t.members {
-		if e.DataCentre == t.self.DataCentre && rank[e.State] < rank[Dead] {
-			t.order = append(t.order, id)
+		if e.DataCentre == t.self.DataCentre && precedence[e.State] < precedence[Dead] {
+			t.probeOrder = append(t.probeOrder, id)
 		}
 	}
-	sort.Slice(t.order, func(i, j int) bool { return t.order[i] < t.order[j] })
-	random.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
+	sort.Slice(t.probeOrder, func(i, j int) bool { return t.probeOrder[i] < t.probeOrder[j] })
+	random.Shuffle(len(t.probeOrder), func(i, j int) { t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i] })
 }
 
-func (t *Table) pick(random *rand.Rand, want func(*entry) bool) (Member, bool) {
+func (t *Table) randomMember(random *rand.Rand, matches func(*entry) bool) (Member, bool) {
 	var ids []domain.InstanceID
 	for id, e := range t.members {
-		if want(e) {
+		if matches(e) {
 			ids = append(ids, id)
 		}
 	}
@@ -282,11 +289,12 @@
 	return t.members[ids[random.IntN(len(ids))]].Member, true
 }
 
-// Helpers returns up to n members, other than the target, to probe through.
-func (t *Table) Helpers(random *rand.Rand, target domain.InstanceID, n int) []Member {
+// IndirectProbers returns up to n members that are alive, other than the target,
+// to probe it through. A member may be among them more than once.
+func (t *Table) IndirectProbers(random *rand.Rand, target domain.InstanceID, n int) []Member {
 	var out []Member
 	for range 4 * n {
-		m, ok := t.pick(random, func(e *entry) bool { return e.ID != target && e.State == Alive })
+		m, ok := t.randomMember(random, func(e *entry) bool { return e.ID != target && e.State == Alive })
 		if !ok || len(out) == n {
 			break
 		}
@@ -295,7 +303,7 @@
 	return out
 }
 
-// Members returns all members, the own instance included, in order of id.
+// Members returns all members, including the own instance, sorted by id.
 func (t *Table) Members() []Member {
 	out := []Member{t.self}
 	for _, e := range t.members {
@@ -305,23 +313,23 @@
 	return out
 }
 
-// Present returns the members that may be counted on: alive or suspect, and not
-// leaving.
-func (t *Table) Present(dc domain.DataCentre) []Member {
+// Live returns the members of a data centre that are alive or suspected, the own
+// instance included.
+func (t *Table) Live(dc domain.DataCentre) []Member {
 	var out []Member
 	for _, m := range t.Members() {
-		if m.DataCentre == dc && rank[m.State] < rank[Dead] {
+		if m.DataCentre == dc && precedence[m.State] < precedence[Dead] {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// Planner returns the instance that plans for a data centre: the highest
-// rendezvous hash among those present. A change of members moves the role only
-// when it concerns the winner.
+// Planner returns the instance that plans for a data centre: the live one with
+// the highest rendezvous hash. A change of members moves the role only if it
+// removes this instance or adds one with a higher hash.
 func (t *Table) Planner(dc domain.DataCentre) (Member, bool) {
-	return Rendezvous("planner/"+string(dc), t.Present(dc))
+	return Rendezvous("planner/"+string(dc), t.Live(dc))
 }
 
 // Rendezvous returns the member with the highest hash for the key.
