--- a/instance/auth/auth.go
+++ b/instance/auth/auth.go
@@ -1,6 +1,6 @@
-// Package auth tells whose bearer token a call carries. Tokens are declared as
-// SHA-256 hashes; several may be in force at once, so that one is rotated
-// without a gap. Tokens never appear in errors or logs.
+// Package auth authenticates calls by their bearer tokens. Tokens are declared as
+// SHA-256 hashes; several may be valid at once, so that they can be rotated
+// without interruption. Tokens never appear in errors or logs.
 package auth
 
 import (
@@ -15,13 +15,13 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// tokenBytes is the entropy of a new token.
+// tokenBytes is the number of random bytes in a new token.
 const tokenBytes = 24
 
 // NewToken returns a random token and the hash to declare for it.
 func NewToken() (token, hash string) {
 	raw := make([]byte, tokenBytes)
-	// crypto/rand.Read never fails: it ends the program instead.
+	// crypto/rand.Read never returns an error: on failure it crashes the program.
 	_, _ = rand.Read(raw)
 	token = hex.EncodeToString(raw)
 	return token, Hash(token)
@@ -42,8 +42,8 @@
 	return strings.TrimSpace(token)
 }
 
-// Matches tells whether the token has one of the hashes, in constant time for
-// each.
+// Matches reports whether one of the hashes is the token's. Each comparison takes
+// constant time.
 func Matches(token string, hashes []string) bool {
 	if token == "" {
 		return false
@@ -68,8 +68,9 @@
 		"send \"Authorization: Bearer TOKEN\" with a token that is declared for your account")
 }
 
-// Operator checks a token against the declared operators' tokens, and against
-// the bootstrap hash of the settings, which is good for the first declaration.
+// Operator returns a refusal unless the token is a declared operator's or has the
+// bootstrap hash of the settings, which allows the first declarations to be
+// applied.
 func Operator(token string, d configuration.Declarations, bootstrap string) *domain.Refusal {
 	hashes := append([]string{bootstrap}, d.OperatorTokenHashes...)
 	if Matches(token, hashes) {
--- a/instance/site_test.go
+++ b/instance/deployment_test.go
@@ -23,27 +23,27 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// patience bounds waits for things that must happen; no test asserts how long
-// they took.
-const patience = 20 * time.Second
+// waitTimeout bounds the waits for expected conditions. No test asserts how long a
+// wait took.
+const waitTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// site is a small deployment over TCP: stand-ins and daemons' code.
-type site struct {
+// deployment is a small deployment over TCP: a stand-in platform and instances.
+type deployment struct {
 	t         *testing.T
 	platform  *standin.Running
-	instances []*running
+	instances []*runningInstance
 }
 
-type running struct {
+type runningInstance struct {
 	*instance.Instance
 	stop context.CancelFunc
 	done chan error
@@ -66,7 +66,7 @@
 	}
 }
 
-func newSite(t *testing.T, dcs ...domain.DataCentre) *site {
+func newDeployment(t *testing.T, dcs ...domain.DataCentre) *deployment {
 	t.Helper()
 	fleet := standin.Fleet{}
 	for _, dc := range dcs {
@@ -78,17 +78,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, platform: platform}
+	s := &deployment{t: t, platform: platform}
 	t.Cleanup(s.close)
 	return s
 }
 
-func (s *site) start(dc domain.DataCentre) *running {
+func (s *deployment) start(dc domain.DataCentre) *runningInstance {
 	s.t.Helper()
 	return s.startWith(dc, instance.Options{})
 }
 
-func (s *site) startWith(dc domain.DataCentre, options instance.Options) *running {
+func (s *deployment) startWith(dc domain.DataCentre, options instance.Options) *runningInstance {
 	s.t.Helper()
 	secret := filepath.Join(s.t.TempDir(), "secret")
 	if err := os.WriteFile(secret, []byte("a-secret-of-the-peers"), 0o600); err != nil {
@@ -111,13 +111,13 @@
 		s.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Instance: in, stop: cancel, done: make(chan error, 1)}
+	r := &runningInstance{Instance: in, stop: cancel, done: make(chan error, 1)}
 	go func() { r.done <- in.Run(ctx) }()
 	s.instances = append(s.instances, r)
 	return r
 }
 
-func (s *site) configure() {
+func (s *deployment) configure() {
 	s.t.Helper()
 	raw, err := json.Marshal(declarations())
 	if err != nil {
@@ -128,25 +128,25 @@
 	}
 	for _, in := range s.instances {
 		eventually(s.t, "the configuration is in force", func() bool { return in.ConfigurationVersion() == 1 && in.Ready() })
-		eventually(s.t, "the instances know each other", func() bool { return in.Peers() == len(s.instances) })
+		eventually(s.t, "the instances have discovered each other", func() bool { return in.Peers() == len(s.instances) })
 	}
 }
 
-func (s *site) close() {
+func (s *deployment) close() {
 	for _, in := range s.instances {
 		in.stop()
 		select {
 		case <-in.done:
-		case <-time.After(patience):
-			s.t.Errorf("%s does not end", in.ID)
+		case <-time.After(waitTimeout):
+			s.t.Errorf("instance %s does not stop", in.ID)
 		}
 	}
 	s.platform.Stop()
 }
 
-// call sends one HTTP call and returns the status, the body, and the refusal if
-// the body is one.
-func (r *running) call(t *testing.T, method, path, token, id, body string) (*http.Response, string, domain.Refusal) {
+// call sends one HTTP request and returns the response, its body, and the refusal
+// if the body is one.
+func (r *runningInstance) call(t *testing.T, method, path, token, id, body string) (*http.Response, string, domain.Refusal) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+r.CallersAddress()+path, strings.NewReader(body))
 	if err != nil {
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	var refusal domain.Refusal
-	_ = json.Unmarshal(raw, &refusal) // most answers are none
+	_ = json.Unmarshal(raw, &refusal) // most bodies are not a refusal
 	return response, string(raw), refusal
 }
 
@@ -176,7 +176,7 @@
 		"shape": {"tasks": %d, "per_task": {"accelerators": 8}, "adjacency": "same-rack"}}`, id, work, tasks)
 }
 
-func (r *running) wait(t *testing.T, id, token string) state.Status {
+func (r *runningInstance) wait(t *testing.T, id, token string) state.Status {
 	t.Helper()
 	var status state.Status
 	eventually(t, "job "+id+" ends", func() bool {
--- a/instance/example_test.go
+++ b/instance/example_test.go
@@ -15,7 +15,7 @@
 	"github.com/cobalttide/cobalttide/standin"
 )
 
-// An instance in a program of one's own, against a stand-in platform.
+// This example embeds an instance in a program, with a stand-in platform.
 func Example() {
 	platform, err := standin.Start(standin.Fleet{}, "127.0.0.1:0")
 	if err != nil {
--- a/instance/fuzz_test.go
+++ b/instance/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/cobalttide/cobalttide/scheduler/admission"
 )
 
-// Whatever a caller sends, it is a job that passes or a refusal with a field and
-// a remedy.
+// Guards against refusals that don't help: any body is accepted as a job or refused
+// with a field and a remedy.
 func FuzzJob(f *testing.F) {
 	f.Add(`{"id": "a", "class": "c", "estimate": "1m", "shape": {"tasks": 1, "per_task": {"accelerators": 1}}}`)
 	f.Add(`{"id": 1}`)
@@ -21,13 +21,13 @@
 			refusal = admission.Check(job, admission.Snapshot{})
 		}
 		if refusal != nil && (refusal.Field == "" || refusal.Remedy == "" || refusal.Outcome != domain.NotRun) {
-			t.Fatalf("unhelpful: %+v", refusal)
+			t.Fatalf("a refusal without a field or a remedy, or with an outcome other than not-run: %+v", refusal)
 		}
 	})
 }
 
-// Whatever a peer sends, decoding it ends, and what it means is merged without
-// harm.
+// Guards against messages of peers that hang the decoder or make an instance
+// consider itself dead.
 func FuzzPing(f *testing.F) {
 	f.Add(`{"from": {"id": "i", "dc": "d", "addr": "a", "state": "alive", "inc": 1}, "news": [{"id": "self", "state": "dead", "inc": 18446744073709551615}]}`)
 	f.Add(`{"news": [{"id": "", "state": "odd"}]}`)
@@ -37,10 +37,10 @@
 			return
 		}
 		in := newFuzzInstance()
-		in.takePing(p)
+		in.mergePing(p)
 		for _, m := range in.members.all() {
 			if m.ID == "self" && m.State != "alive" {
-				t.Fatalf("news made the instance believe that it is %s", m.State)
+				t.Fatalf("an update changed the instance's own state to %s", m.State)
 			}
 		}
 	})
--- a/instance/http.go
+++ b/instance/http.go
@@ -25,20 +25,20 @@
 // The headers of the callers' interface.
 const (
 	headerRequestID = "Cobalttide-Request-Id"
-	// headerDeadline is how long the caller waits, as a duration; without it
-	// the class's expectation counts.
+	// headerDeadline is how long the caller waits, as a duration. The default is
+	// the class's expectation.
 	headerDeadline = "Cobalttide-Deadline"
 	headerRepeat   = "Cobalttide-Repeat"
 )
 
-// handler serves callers, operators, metrics and health.
+// handler returns the HTTP handler for callers, operators, metrics and health.
 func (in *Instance) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/requests/{class}", in.track(in.serveRequest))
-	mux.Handle("POST /v1/jobs", in.endpoint(in.postJob))
-	mux.Handle("GET /v1/jobs/{id}", in.endpoint(in.getJob))
-	mux.Handle("GET /v1/jobs/{id}/explain", in.endpoint(in.explainJob))
-	mux.Handle("DELETE /v1/jobs/{id}", in.endpoint(in.deleteJob))
+	mux.HandleFunc("POST /v1/requests/{class}", in.trackInFlight(in.serveRequest))
+	mux.Handle("POST /v1/jobs", in.jobEndpoint(in.postJob))
+	mux.Handle("GET /v1/jobs/{id}", in.jobEndpoint(in.getJob))
+	mux.Handle("GET /v1/jobs/{id}/explain", in.jobEndpoint(in.explainJob))
+	mux.Handle("DELETE /v1/jobs/{id}", in.jobEndpoint(in.deleteJob))
 	path, operators := cobalttidev1connect.NewOperatorServiceHandler(&operatorService{in})
 	mux.Handle(path, http.MaxBytesHandler(operators, operatorBodyBytes))
 	mux.Handle("GET /metrics", promhttp.HandlerFor(in.Metrics.Registry, promhttp.HandlerOpts{}))
@@ -47,8 +47,9 @@
 	return mux
 }
 
-// track keeps a leaving instance from ending while it holds a request.
-func (in *Instance) track(next http.HandlerFunc) http.HandlerFunc {
+// trackInFlight counts a request as in flight while next handles it, so that a
+// leaving instance waits for it.
+func (in *Instance) trackInFlight(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		in.inFlight.Add(1)
 		defer in.inFlight.Done()
@@ -56,7 +57,7 @@
 	}
 }
 
-// jobCall is a decoded call to the jobs' interface.
+// jobCall is a decoded call of the job API.
 type jobCall struct {
 	account    domain.AccountID
 	id         domain.JobID
@@ -65,12 +66,12 @@
 	job        domain.Job
 }
 
-// endpoint lifts a typed function to a go-kit HTTP server.
-func (in *Instance) endpoint(f func(context.Context, jobCall) (any, error)) http.Handler {
+// jobEndpoint wraps a function on a job call as a go-kit HTTP server.
+func (in *Instance) jobEndpoint(f func(context.Context, jobCall) (any, error)) http.Handler {
 	call := func(ctx context.Context, request any) (any, error) { return f(ctx, request.(jobCall)) }
 	server := kithttp.NewServer(call, in.decodeJobCall, kithttp.EncodeJSONResponse,
 		kithttp.ServerErrorEncoder(in.encodeError))
-	return in.track(server.ServeHTTP)
+	return in.trackInFlight(server.ServeHTTP)
 }
 
 func (in *Instance) decodeJobCall(_ context.Context, r *http.Request) (any, error) {
@@ -102,7 +103,7 @@
 	return call, nil
 }
 
-// DecodeJob reads a submitted job. Unknown fields are refused.
+// DecodeJob decodes a submitted job. It rejects unknown fields.
 func DecodeJob(raw []byte) (domain.Job, *domain.Refusal) {
 	var body struct {
 		ID         domain.JobID      `json:"id"`
@@ -126,10 +127,10 @@
 	limit := in.Settings.Limits.BodyBytes
 	raw, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, domain.Refuse(domain.ReasonInvalid, "body", "could not be read to its end", "send it again")
+		return nil, domain.Refuse(domain.ReasonInvalid, "body", "could not be read completely", "send it again")
 	}
 	if int64(len(raw)) > limit {
-		return nil, domain.Refuse(domain.ReasonTooLarge, "body", fmt.Sprintf("has more than %d bytes", limit), "send less, or have limits.body_bytes raised")
+		return nil, domain.Refuse(domain.ReasonTooLarge, "body", fmt.Sprintf("exceeds %d bytes", limit), "send a smaller body, or have limits.body_bytes raised")
 	}
 	return raw, nil
 }
@@ -163,8 +164,8 @@
 	return in.Cancel(ctx, c.account, c.id, c.dataCentre)
 }
 
-// statusOf maps reasons to HTTP status codes.
-var statusOf = map[domain.Reason]int{
+// httpStatus maps reasons to HTTP status codes. All others map to 503.
+var httpStatus = map[domain.Reason]int{
 	domain.ReasonInvalid:          http.StatusBadRequest,
 	domain.ReasonUnauthenticated:  http.StatusUnauthorized,
 	domain.ReasonForbidden:        http.StatusForbidden,
@@ -181,12 +182,12 @@
 	domain.ReasonDeadline:         http.StatusGatewayTimeout,
 }
 
-// encodeError answers with the refusal as JSON, at once, and with when to come
-// back.
+// encodeError writes the refusal as JSON, with a Retry-After header if it has a
+// time to retry after.
 func (in *Instance) encodeError(_ context.Context, err error, w http.ResponseWriter) {
 	refusal := domain.AsRefusal(err)
 	in.Metrics.Refused(refusal)
-	status, ok := statusOf[refusal.Reason]
+	status, ok := httpStatus[refusal.Reason]
 	if !ok {
 		status = http.StatusServiceUnavailable
 	}
@@ -196,7 +197,7 @@
 		w.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(refusal) // the caller notices a cut connection
+	_ = json.NewEncoder(w).Encode(refusal) // the caller detects a closed connection
 }
 
 func (in *Instance) serveRequest(w http.ResponseWriter, r *http.Request) {
@@ -212,12 +213,13 @@
 		in.encodeError(ctx, err, w)
 		return
 	}
-	in.passOn(w, call, answer)
+	in.streamAnswer(w, call, answer)
 }
 
-// passOn streams the answer through. When it ends early the connection is cut,
-// so that the caller can't take a part for the whole.
-func (in *Instance) passOn(w http.ResponseWriter, call *dispatch.Call, answer *dispatch.Answer) {
+// streamAnswer streams a backend server's answer to the caller. If it ends early
+// the connection is closed abruptly, so that the caller can't mistake a partial
+// answer for a complete one.
+func (in *Instance) streamAnswer(w http.ResponseWriter, call *dispatch.Call, answer *dispatch.Answer) {
 	defer func() { _ = answer.Body.Close() }()
 	header := w.Header()
 	header.Set(headerRequestID, call.ID)
@@ -253,8 +255,8 @@
 	}
 	id := r.Header.Get(headerRequestID)
 	if !admission.ValidID(id) {
-		return nil, domain.Refuse(domain.ReasonInvalid, headerRequestID, "is missing or has other characters than letters, digits, '.', '_' and '-'",
-			"choose an id of 1 to 128 such characters; repeat a request with the same one")
+		return nil, domain.Refuse(domain.ReasonInvalid, headerRequestID, "is missing or has characters other than letters, digits, '.', '_' and '-'",
+			"choose an id of 1 to 128 such characters; repeat a request with the same id")
 	}
 	wait, refusal := in.deadline(r, class)
 	if refusal != nil {
@@ -279,18 +281,18 @@
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait <= 0 || wait > in.Settings.Limits.RequestTimeout.Std() {
 		return 0, domain.Refuse(domain.ReasonInvalid, headerDeadline,
-			fmt.Sprintf("%q is not a time to wait within limits.request_timeout", text), `write how long you wait, such as "800ms"`)
+			fmt.Sprintf("%q is not a positive duration within limits.request_timeout", text), `write how long you wait, such as "800ms"`)
 	}
 	return wait, nil
 }
 
-// health is what /healthz and /readyz say.
+// health is the body of /healthz and /readyz.
 type health struct {
 	Ready                bool   `json:"ready"`
 	Leaving              bool   `json:"leaving"`
 	ConfigurationVersion uint64 `json:"configuration_version"`
-	// LogAgeMs is the time since the log was last read; -1 for never. While it
-	// grows the instance can't tell whether its configuration is the newest.
+	// LogAgeMs is the time since the last successful read of the log, or -1 if
+	// there was none. While it grows, the configuration may be outdated.
 	LogAgeMs    int64 `json:"log_age_ms"`
 	HeldRecords int   `json:"held_records"`
 }
@@ -303,8 +305,8 @@
 	}
 }
 
-// Ready tells whether callers are served: the configuration is known, the
-// platform's lists have been read once, and the instance is not leaving.
+// Ready reports whether the instance serves callers: it has a configuration, has
+// read the platform's lists at least once, and is not leaving.
 func (in *Instance) Ready() bool {
 	listed := in.inventory.Load().Versions != port.ListVersions{}
 	return in.configuration.Current().Version > 0 && listed && !in.leaving.Load()
@@ -326,7 +328,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller notices a cut connection
+	_ = json.NewEncoder(w).Encode(body) // the caller detects a closed connection
 }
 
 func decodeStrict(raw []byte, into any) *domain.Refusal {
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,7 +1,7 @@
-// Package instance is the library behind cobalttided: it wires the pipelines,
-// the planner's role, membership and state of one instance together. All
-// instances are alike; none keeps anything that the platform or its peers don't
-// also have.
+// Package instance implements one entry instance, which cobalttided runs. It
+// connects the request and job pipelines, the planner, membership and state. All
+// instances are equal, and none has state that neither the platform nor its
+// peers have.
 package instance
 
 import (
@@ -36,14 +36,14 @@
 	"github.com/cobalttide/cobalttide/transport/peer"
 )
 
-// Platform is everything that an instance asks of the platform.
+// Platform is the set of platform services that an instance uses.
 type Platform interface {
 	port.Log
 	port.Lister
 	port.Workers
 }
 
-// Instance is one running instance.
+// Instance is one entry instance.
 type Instance struct {
 	ID       domain.InstanceID
 	Settings settings.Settings
@@ -62,56 +62,56 @@
 	held          *heldRecords
 	followers     map[port.Stream]*state.Follower
 
-	table    *routing.Table
-	gate     *limit.Gate
-	rates    *limit.Rates
-	keeper   *attempt.Keeper
-	requests endpoint.Endpoint
-	planner  *planner.Runner
+	routingTable *routing.Table
+	gate         *limit.Gate
+	rates        *limit.Rates
+	keeper       *attempt.Keeper
+	requests     endpoint.Endpoint
+	planner      *planner.Runner
 
 	members   memberTable
 	inventory atomic.Pointer[port.Inventory]
-	draining  drainSet
+	orders    orderStore
 	leaving   atomic.Bool
 	planning  atomic.Bool
 	recovered atomic.Bool
 	inFlight  sync.WaitGroup
 
-	callers, peersListener net.Listener
-	server                 *http.Server
-	peerServer             *peer.Server
-	wg                     sync.WaitGroup
-	cancel                 context.CancelFunc
+	callersListener, peersListener net.Listener
+	server                         *http.Server
+	peerServer                     *peer.Server
+	wg                             sync.WaitGroup
+	cancel                         context.CancelFunc
 }
 
-// Options replace parts of an instance; the zero value is a production one.
+// Options replaces parts of an instance. The zero value is for production.
 type Options struct {
 	// Platform replaces the HTTP client of the platform.
 	Platform Platform
-	// Log replaces the process's logger.
+	// Log replaces the default logger.
 	Log *logrus.Logger
 	// Planner replaces the planner's options.
 	Planner *planner.Options
 }
 
-// New makes an instance from checked settings. It opens its listeners, so that
-// a wrong address is noticed here; Run does the rest.
+// New returns an instance with validated settings. It opens the listeners, so
+// that a wrong address is reported here; Run does the rest.
 func New(s settings.Settings, options Options) (*Instance, error) {
 	secret, err := readSecret(s.PeerSecretFile)
 	if err != nil {
 		return nil, err
 	}
 	in := &Instance{
-		ID: domain.InstanceID(string(s.Instance) + "-" + suffix()), Settings: s,
+		ID: domain.InstanceID(string(s.Instance) + "-" + randomSuffix()), Settings: s,
 		Metrics: newMetrics(), secret: secret, counters: &peer.Counters{},
 		configuration: configuration.NewStore(), jobs: state.NewJobs(), ledger: attempt.NewLedger(),
-		followers: map[port.Stream]*state.Follower{},
-		table:     routing.NewTable(s.DataCentre, routing.DefaultOptions()),
-		rates:     limit.NewRates(), draining: drainSet{workers: map[domain.WorkerID]bool{}},
+		followers:    map[port.Stream]*state.Follower{},
+		routingTable: routing.NewTable(s.DataCentre, routing.DefaultOptions()),
+		rates:        limit.NewRates(), orders: orderStore{drained: map[domain.WorkerID]bool{}},
 		platform: options.Platform,
 	}
-	in.log = logger(options.Log, s).WithFields(logrus.Fields{"instance": in.ID, "data_centre": s.DataCentre})
-	in.Metrics.countBytes("peers", in.PeerCounters)
+	in.log = newLogger(options.Log, s).WithFields(logrus.Fields{"instance": in.ID, "data_centre": s.DataCentre})
+	in.Metrics.countBytes("peers", in.PeerBytes)
 	if in.platform == nil {
 		c := client.New(s.Platform.Log, s.Platform.List, s.DataCentre)
 		in.Metrics.countBytes("platform", c.Bytes)
@@ -125,10 +125,10 @@
 	return in, nil
 }
 
-// suffix tells one run of an instance from the next.
-func suffix() string {
+// randomSuffix returns a suffix that distinguishes the runs of an instance.
+func randomSuffix() string {
 	raw := make([]byte, 4)
-	// crypto/rand.Read never fails: it ends the program instead.
+	// crypto/rand.Read never returns an error: on failure it crashes the program.
 	_, _ = rand.Read(raw)
 	return hex.EncodeToString(raw)
 }
@@ -136,16 +136,16 @@
 func readSecret(file string) ([]byte, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer_secret_file can't be read; make it readable for the instance")
+		return nil, errors.Wrap(err, "can't read peer_secret_file; make it readable for the instance")
 	}
 	secret := strings.TrimSpace(string(raw))
 	if len(secret) < 16 {
-		return nil, errors.Newf("peer_secret_file %s holds fewer than 16 characters; write a longer secret", file)
+		return nil, errors.Newf("peer_secret_file %s has fewer than 16 characters; use a longer secret", file)
 	}
 	return []byte(secret), nil
 }
 
-func logger(given *logrus.Logger, s settings.Settings) *logrus.Logger {
+func newLogger(given *logrus.Logger, s settings.Settings) *logrus.Logger {
 	if given != nil {
 		return given
 	}
@@ -159,37 +159,40 @@
 
 func (in *Instance) listen() error {
 	var err error
-	if in.callers, err = net.Listen("tcp", in.Settings.Listen.Callers); err != nil {
-		return errors.Wrap(err, "listen.callers can't be opened; use another port")
+	if in.callersListener, err = net.Listen("tcp", in.Settings.Listen.Callers); err != nil {
+		return errors.Wrap(err, "can't listen on listen.callers; use another port")
 	}
 	in.peersListener, err = net.Listen("tcp", in.Settings.Listen.Peers)
 	if err != nil {
-		_ = in.callers.Close() // the instance does not start
-		return errors.Wrap(err, "listen.peers can't be opened; use another port")
+		_ = in.callersListener.Close() // the instance does not start
+		return errors.Wrap(err, "can't listen on listen.peers; use another port")
 	}
 	return nil
 }
 
-// CallersAddress returns where callers and operators reach the instance.
-func (in *Instance) CallersAddress() string { return in.callers.Addr().String() }
+// CallersAddress returns the address for callers and operators.
+func (in *Instance) CallersAddress() string { return in.callersListener.Addr().String() }
 
-// PeersAddress returns where peers reach the instance.
+// PeersAddress returns the address for peers.
 func (in *Instance) PeersAddress() string { return in.peersListener.Addr().String() }
 
-// ConfigurationVersion returns the version in force at the instance.
+// ConfigurationVersion returns the version of the configuration in force at the
+// instance.
 func (in *Instance) ConfigurationVersion() configuration.Version {
 	return in.configuration.Current().Version
 }
 
-// PeerPool gives tests and the demo the means to cut peers off.
+// PeerPool returns the connections to peers, so that tests and the demo can
+// block some.
 func (in *Instance) PeerPool() *peer.Pool { return in.peers }
 
-// PeerCounters returns the bytes that crossed the peers' sockets.
-func (in *Instance) PeerCounters() (received, sent int64) {
+// PeerBytes returns the number of bytes received from and sent to peers.
+func (in *Instance) PeerBytes() (received, sent int64) {
 	return in.counters.In.Load(), in.counters.Out.Load()
 }
 
-// The share of requests that may be retried, and the reserve for bursts.
+// The share of requests that may be retried, and the number of further retries
+// that a burst may use.
 const (
 	retryShare   = 0.1
 	retryReserve = 10
@@ -204,9 +207,9 @@
 	self := membership.Member{ID: in.ID, DataCentre: in.Settings.DataCentre, Address: in.PeersAddress()}
 	in.members.table = membership.NewTable(self, membership.DefaultOptions())
 	in.peerServer = peer.NewServer(in.secret, in.peerMethods(), in.counters)
-	in.follow(state.ConfigurationStream, in.configurationOffset, in.applyConfiguration, in.loadConfiguration)
-	in.follow(state.JobStream(in.Settings.DataCentre), in.jobs.Offset, in.applyJob, in.loadJobs)
-	in.follow(state.AttemptStream, in.ledger.Offset, in.applyAttempt, nil)
+	in.addFollower(state.ConfigurationStream, in.configurationOffset, in.applyConfiguration, in.loadConfigurationSnapshot)
+	in.addFollower(state.JobStream(in.Settings.DataCentre), in.jobs.Offset, in.applyJob, in.loadJobsSnapshot)
+	in.addFollower(state.AttemptStream, in.ledger.Offset, in.applyAttempt, nil)
 	in.wireRequests()
 	in.wirePlanner(options)
 	in.server = &http.Server{
@@ -221,7 +224,7 @@
 	in.keeper = &attempt.Keeper{Instance: in.ID, Journal: in.journal, Ledger: in.ledger, Options: attempt.DefaultOptions()}
 	in.gate = limit.NewGate(limit.DefaultGateOptions().Most, limit.DefaultGateOptions())
 	router := &dispatch.Router{
-		Table: in.table, Budget: retry.NewBudget(retryShare, retryReserve),
+		Table: in.routingTable, Budget: retry.NewBudget(retryShare, retryReserve),
 		Transport: backendTransport(), Options: dispatch.DefaultRouteOptions(),
 		OnRetry: func(reason domain.Reason) { in.Metrics.retries.WithLabelValues(string(reason)).Inc() },
 	}
@@ -229,7 +232,7 @@
 		dispatch.Rate(in.rates), dispatch.Deduplicate(in.keeper), dispatch.Admit(in.gate))
 }
 
-// Bounds of the connections to one backend server.
+// Limits of the connections to one backend server.
 const (
 	connectionsPerBackend = 60
 	backendDialTimeout    = time.Second
@@ -253,8 +256,8 @@
 	in.Metrics.records.Add(float64(records))
 }
 
-func (in *Instance) follow(stream port.Stream, from func() int64, apply func(port.Entry), behind func(context.Context, int64) error) {
-	in.followers[stream] = &state.Follower{Log: in.platform, Stream: stream, From: from, OnTruncated: behind, Apply: func(e port.Entry) {
+func (in *Instance) addFollower(stream port.Stream, from func() int64, apply func(port.Entry), onTruncated func(context.Context, int64) error) {
+	in.followers[stream] = &state.Follower{Log: in.platform, Stream: stream, From: from, OnTruncated: onTruncated, Apply: func(e port.Entry) {
 		apply(e)
 		in.journal.Seen(stream, e)
 	}}
@@ -262,22 +265,22 @@
 
 func (in *Instance) configurationOffset() int64 { return in.configuration.Current().Offset }
 
-// Run serves until ctx ends, then drains: it refuses nothing that it has taken
-// on, and cuts nothing off. It returns once all is done or DrainTimeout ends.
+// Run serves until ctx ends, then drains: requests in flight are completed. It
+// returns once that is done or after DrainTimeout.
 func (in *Instance) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	in.cancel = cancel
 	defer cancel()
-	in.spawn(background, in.listLoop)
+	in.spawn(background, in.inventoryLoop)
 	in.spawn(background, in.probeLoop)
-	in.spawn(background, in.recoverThenFollow)
+	in.spawn(background, in.recoverState)
 	in.spawn(background, in.planner.Run)
 	in.spawn(background, in.heldLoop)
 	in.spawn(background, in.snapshotLoop)
-	in.spawn(background, in.balanceLoop)
+	in.spawn(background, in.gateLoop)
 	in.spawn(background, func(ctx context.Context) { in.peerServer.Serve(ctx, in.peersListener) })
 	serving := make(chan error, 1)
-	go func() { serving <- in.server.Serve(limitListener(in.callers, in.Settings.Limits.Connections)) }()
+	go func() { serving <- in.server.Serve(limitListener(in.callersListener, in.Settings.Limits.Connections)) }()
 	in.log.WithFields(logrus.Fields{"callers": in.CallersAddress(), "peers": in.PeersAddress()}).Info("serving")
 
 	select {
@@ -297,8 +300,8 @@
 	}()
 }
 
-// drain says that the instance leaves, goes on serving until the balancer has
-// noticed, finishes what it holds, and empties its journal.
+// drain announces that the instance leaves, keeps serving until the load balancer
+// has noticed, completes the requests in flight, and flushes the journal.
 func (in *Instance) drain() error {
 	in.log.Info("leaving")
 	in.leaving.Store(true)
@@ -312,26 +315,26 @@
 	in.flushJournal(ctx)
 	in.stop()
 	in.log.Info("left")
-	return errors.Wrap(err, "requests were still under way when drain_timeout ended")
+	return errors.Wrap(err, "requests were still in flight after drain_timeout")
 }
 
-// flushPause is the pause between two looks at the journal while leaving.
-const flushPause = 20 * time.Millisecond
+// flushPollInterval is the interval at which flushJournal polls the journal.
+const flushPollInterval = 20 * time.Millisecond
 
-// flushJournal waits for records that are not in the log yet; while the log is
-// away they are left with peers, who hold copies.
+// flushJournal waits for records that are not in the log yet. If the log stays
+// unreachable it stops waiting: peers have copies of the records.
 func (in *Instance) flushJournal(ctx context.Context) {
-	const patience = 5 * time.Second
-	end := time.Now().Add(patience)
+	const maxWait = 5 * time.Second
+	end := time.Now().Add(maxWait)
 	for in.journal.Pending() > 0 && time.Now().Before(end) && ctx.Err() == nil {
-		time.Sleep(flushPause)
+		time.Sleep(flushPollInterval)
 	}
 }
 
-// Kill ends the instance without draining, as a crash does; for tests and the
-// demo.
+// Kill stops the instance without draining, like a crash. It is meant for tests
+// and the demo.
 func (in *Instance) Kill() {
-	_ = in.server.Close() // its connections are cut on purpose
+	_ = in.server.Close() // connections are cut on purpose
 	in.stop()
 }
 
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -17,8 +17,8 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-func TestRequestsAndGangsGoFromEndToEndOverTCP(t *testing.T) {
-	s := newSite(t, "north", "south")
+func TestRequestsAndGangsEndToEndOverTCP(t *testing.T) {
+	s := newDeployment(t, "north", "south")
 	a, b, far := s.start("north"), s.start("north"), s.start("south")
 	s.configure()
 	body := `{"take": "1ms", "size": 5000, "stream": true}`
@@ -47,12 +47,12 @@
 	}
 	response, raw, _ := a.call(t, http.MethodGet, "/metrics", "", "", "")
 	if response.StatusCode != http.StatusOK || !strings.Contains(raw, "cobalttide_requests_total") {
-		t.Errorf("metrics: %d", response.StatusCode)
+		t.Errorf("/metrics answers %d, or lacks cobalttide_requests_total", response.StatusCode)
 	}
 }
 
 func TestRepeatAtAnotherInstanceGetsTheFirstAnswer(t *testing.T) {
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a, b := s.start("north"), s.start("north")
 	s.configure()
 	_, first, _ := a.call(t, http.MethodPost, "/v1/requests/check", "shop", "c1", `{"take":"1ms"}`)
@@ -62,19 +62,19 @@
 	}
 	_, _, refusal := b.call(t, http.MethodPost, "/v1/requests/check", "shop", "c1", `{"take":"2ms"}`)
 	if refusal.Reason != domain.ReasonIDReused {
-		t.Errorf("another body under the same id: %+v", refusal)
+		t.Errorf("a request with the same id and another body: %+v", refusal)
 	}
 	total := 0
 	for _, backend := range s.platform.Backends() {
 		total += backend.Ran()["shop/c1"]
 	}
 	if total != 1 {
-		t.Errorf("it ran %d times", total)
+		t.Errorf("the request ran %d times, want 1", total)
 	}
 }
 
 func TestBadInputIsRefusedWithReasonFieldAndRemedy(t *testing.T) {
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	in := s.start("north")
 	s.configure()
 	in.call(t, http.MethodPost, "/v1/jobs", "shop", "", gangBody("taken", 1, time.Millisecond))
@@ -126,7 +126,7 @@
 				t.Errorf("got %d %s", response.StatusCode, raw)
 			}
 			if refusal.Remedy == "" || refusal.Outcome != domain.NotRun {
-				t.Errorf("remedy %q, outcome %q", refusal.Remedy, refusal.Outcome)
+				t.Errorf("remedy %q, outcome %q, want a remedy and not-run", refusal.Remedy, refusal.Outcome)
 			}
 			if strings.Contains(raw, c.token) && c.token == "wrong" {
 				t.Error("the token is in the answer")
@@ -134,19 +134,19 @@
 		})
 	}
 	if status := in.wait(t, "taken", "shop"); status.State != domain.JobCompleted {
-		t.Errorf("the good job is %s", status.State)
+		t.Errorf("the valid job is %s", status.State)
 	}
 }
 
-// Whatever a backend server does to an answer, the caller gets the whole answer
-// to its own request or none.
+// Guards against incomplete or swapped answers: whatever the fault of a backend
+// server, the caller gets the complete answer to its own request or none.
 func TestAnswersAreWholeOrNone(t *testing.T) {
 	faults := map[string]standin.BackendFaults{
 		"truncated": {Truncate: true}, "swapped": {Swap: true}, "dropped": {DropAfter: true}, "failed": {FailFast: true},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, "north")
+			s := newDeployment(t, "north")
 			in := s.start("north")
 			s.configure()
 			for _, backend := range s.platform.Backends()[:2] {
@@ -154,14 +154,14 @@
 			}
 			var wg sync.WaitGroup
 			for i := range 80 {
-				wg.Go(func() { checkWhole(t, in, i) })
+				wg.Go(func() { checkAnswer(t, in, i) })
 			}
 			wg.Wait()
 		})
 	}
 }
 
-func checkWhole(t *testing.T, in *running, i int) {
+func checkAnswer(t *testing.T, in *runningInstance, i int) {
 	id := fmt.Sprint("q", i)
 	class := []string{"quote", "check"}[i%2]
 	body := fmt.Sprintf(`{"take": "1ms", "size": %d, "stream": %v}`, 100*i, i%3 == 0)
@@ -174,7 +174,7 @@
 	request.Header.Set("Cobalttide-Request-Id", id)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return // cut off, which the caller can't take for an answer
+		return // the connection was closed, which the caller can't mistake for an answer
 	}
 	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(response.Body)
@@ -183,12 +183,12 @@
 	}
 	want := standin.Answer("shop", id, []byte(body))
 	if !bytes.HasPrefix(raw, []byte(want)) || len(raw) != len(want)+100*i {
-		t.Errorf("%s got %d bytes that are not its whole answer", id, len(raw))
+		t.Errorf("request %s got %d bytes that are not its complete answer", id, len(raw))
 	}
 }
 
 func TestGracefulShutdownCutsOffNothing(t *testing.T) {
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	in := s.start("north")
 	s.configure()
 	const n = 24
@@ -204,7 +204,7 @@
 			}
 		})
 	}
-	eventually(t, "the backend servers have work", func() bool {
+	eventually(t, "the backend servers process at least half of the requests", func() bool {
 		began := 0
 		for _, backend := range s.platform.Backends() {
 			began += len(backend.Ran())
@@ -212,15 +212,15 @@
 		return began >= n/2
 	})
 	in.stop()
-	in.stop() // a second signal changes nothing
+	in.stop() // a second signal has no effect
 	wg.Wait()
 	if len(answers) != n {
-		t.Errorf("%d of %d requests got their whole answer", len(answers), n)
+		t.Errorf("%d of %d requests got their complete answer", len(answers), n)
 	}
 }
 
 func TestLeavingBackendGetsNothingNew(t *testing.T) {
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	in := s.start("north")
 	s.configure()
 	leaving := s.platform.Backends()[0]
@@ -233,18 +233,18 @@
 	}
 	send(0, 40)
 	if len(leaving.Ran()) == 0 {
-		t.Fatal("the server got nothing before it left: the test tests nothing")
+		t.Fatal("the backend server got no requests before it was leaving, so the test proves nothing")
 	}
 	leaving.SetFaults(standin.BackendFaults{Leaving: true})
 	before := len(leaving.Ran())
 	send(40, 120)
 	if after := len(leaving.Ran()); after != before {
-		t.Errorf("the leaving server was given %d more", after-before)
+		t.Errorf("the leaving backend server got %d more requests", after-before)
 	}
 }
 
 func TestJobsAcceptedWhileTheLogIsDownReachItOnce(t *testing.T) {
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a, b := s.start("north"), s.start("north")
 	s.configure()
 	s.platform.Log.SetFaults(standin.LogFaults{Down: true})
@@ -259,25 +259,25 @@
 		}
 	}
 	late := s.start("north")
-	eventually(t, "an instance that starts meanwhile has the jobs from its peers", func() bool {
+	eventually(t, "an instance that started later has the jobs from its peers", func() bool {
 		_, raw, _ := late.call(t, http.MethodGet, "/v1/jobs/g4", "shop", "", "")
 		return strings.Contains(raw, `"completed"`)
 	})
-	// All that were there when the jobs were accepted die before the log is back;
-	// the one that came later has taken their copies over.
+	// All instances that accepted or replicated the jobs crash before the log is
+	// reachable; only the one that started later has copies.
 	a.Kill()
 	b.Kill()
 	s.platform.Log.SetFaults(standin.LogFaults{})
-	eventually(t, "every acceptance is in the log", func() bool { return s.accepted() == 5 })
+	eventually(t, "every acceptance is in the log", func() bool { return s.acceptedCount() == 5 })
 	c := s.start("north")
-	eventually(t, "a new instance knows every job's end", func() bool {
+	eventually(t, "a new instance has the last job's end", func() bool {
 		_, raw, _ := c.call(t, http.MethodGet, "/v1/jobs/g4", "shop", "", "")
 		return strings.Contains(raw, `"completed"`)
 	})
 }
 
-// accepted counts the distinct acceptances in the log.
-func (s *site) accepted() int {
+// acceptedCount returns the number of distinct acceptances in the log.
+func (s *deployment) acceptedCount() int {
 	page, err := s.platform.Log.Read(context.Background(), state.JobStream("north"), 0)
 	if err != nil {
 		return 0
@@ -292,7 +292,7 @@
 }
 
 func TestConfigurationReachesAnInstanceThatLostTheLogThroughItsPeers(t *testing.T) {
-	s := newSite(t, "north", "south")
+	s := newDeployment(t, "north", "south")
 	a, far := s.start("north"), s.start("south")
 	s.configure()
 	s.platform.SetCut("south")
@@ -306,35 +306,35 @@
 		t.Fatal(refusal)
 	}
 	if _, refusal := a.Apply(context.Background(), string(raw), 1, "second", "test"); refusal != nil {
-		t.Errorf("the same change again, after a lost answer: %v", refusal)
+		t.Errorf("repeat of the change after a lost answer: %v", refusal)
 	}
 	eventually(t, "the cut-off instance has the new version", func() bool { return far.ConfigurationVersion() == 2 })
 	_, refusal := far.Apply(context.Background(), string(raw), 0, "third", "test")
 	if refusal == nil || refusal.Reason != domain.ReasonConflict {
-		t.Errorf("a change against an old version: %v", refusal)
+		t.Errorf("a change to an old version: %v", refusal)
 	}
 }
 
-func TestNewTokenWorksBesideTheOldOne(t *testing.T) {
-	s := newSite(t, "north")
+func TestOldAndNewTokenAreBothAccepted(t *testing.T) {
+	s := newDeployment(t, "north")
 	in := s.start("north")
 	s.configure()
 	for _, token := range []string{"shop-old", "shop"} {
 		if response, raw, _ := in.call(t, http.MethodPost, "/v1/requests/quote", token, "q-"+token, "{}"); response.StatusCode != http.StatusOK {
-			t.Errorf("%s: %s", token, raw)
+			t.Errorf("token %s: %s", token, raw)
 		}
 	}
 }
 
-// All instances are replaced, and the log has dropped the records that the state
-// came from: what is left is the snapshot and the tail.
+// Guards against losing state when all instances are replaced after the log has
+// dropped old records: only the snapshot and the records after it are left.
 func TestStateOutlivesTheLogsRetentionAndEveryInstance(t *testing.T) {
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a := s.start("north")
 	s.configure()
 	a.call(t, http.MethodPost, "/v1/jobs", "shop", "", gangBody("early", 1, time.Millisecond))
 	if status := a.wait(t, "early", "shop"); status.State != domain.JobCompleted {
-		t.Fatalf("early is %s", status.State)
+		t.Fatalf("job early is %s", status.State)
 	}
 	if !a.WriteSnapshots(context.Background()) {
 		t.Fatal("no snapshot was written")
@@ -352,38 +352,38 @@
 	eventually(t, "the new instance has the configuration", func() bool { return b.ConfigurationVersion() == 1 })
 	for _, id := range []string{"early", "late"} {
 		if status := b.wait(t, id, "shop"); status.State != domain.JobCompleted {
-			t.Errorf("%s is %s", id, status.State)
+			t.Errorf("job %s is %s", id, status.State)
 		}
 	}
 }
 
-// A refusal that says not-run is true of jobs too: with the log down and nobody
-// to hold a copy, the job is refused and must not run.
+// Guards against running a job that was refused as not-run: with the log down and
+// no peer to store a copy, the job is refused and must not be kept.
 func TestRefusedJobIsNotKnownAndDoesNotRun(t *testing.T) {
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	in := s.start("north")
 	s.configure()
 	s.platform.Log.SetFaults(standin.LogFaults{Down: true})
 	_, raw, refusal := in.call(t, http.MethodPost, "/v1/jobs", "shop", "", gangBody("refused", 1, time.Millisecond))
 	if refusal.Reason != domain.ReasonLogUnavailable {
-		t.Fatalf("got %s", raw)
+		t.Fatalf("got %s, want a refusal because the log is unavailable", raw)
 	}
 	if refusal.RetryAfter <= 0 {
-		t.Error("the refusal does not say when to come back")
+		t.Error("the refusal has no retry_after")
 	}
 	_, raw, answer := in.call(t, http.MethodGet, "/v1/jobs/refused", "shop", "", "")
 	if answer.Reason != domain.ReasonNotReady {
-		t.Errorf("refused as %s, and yet known, or known not to be, without the log: %s", refusal.Outcome, raw)
+		t.Errorf("refused as %s; without the log its status must be not ready, got %s", refusal.Outcome, raw)
 	}
 	s.platform.Log.SetFaults(standin.LogFaults{})
-	eventually(t, "with the log the job is known not to be", func() bool {
+	eventually(t, "the job is not found once the log is reachable", func() bool {
 		_, raw, answer = in.call(t, http.MethodGet, "/v1/jobs/refused", "shop", "", "")
 		if answer.Reason != domain.ReasonNotReady && answer.Reason != domain.ReasonNotFound {
-			t.Fatalf("refused as %s, and yet known: %s", refusal.Outcome, raw)
+			t.Fatalf("refused as %s, but the job is known: %s", refusal.Outcome, raw)
 		}
 		return answer.Reason == domain.ReasonNotFound
 	})
-	if s.started("refused") {
+	if s.hasStarted("refused") {
 		t.Error("the refused job has run")
 	}
 }
--- a/instance/jobs.go
+++ b/instance/jobs.go
@@ -15,25 +15,26 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// Accepted is the answer to a submission or a cancellation.
+// Accepted is the response to a submission or a cancellation.
 type Accepted struct {
 	ID domain.JobID `json:"id"`
-	// Durability says where the acceptance is safe.
+	// Durability is where the record of the call is stored.
 	Durability Durability `json:"durability"`
-	// Repeat is set when the job had been accepted before.
+	// Repeat is set if an earlier call had the same effect.
 	Repeat bool `json:"repeat,omitempty"`
 }
 
-// drainSet holds the workers that operators are emptying, and since when the whole
-// data centre gets nothing new.
-type drainSet struct {
+// orderStore holds the operators' orders in force: the workers that are being
+// drained, and since when the whole data centre is evacuated.
+type orderStore struct {
 	mu        sync.Mutex
-	workers   map[domain.WorkerID]bool
+	drained   map[domain.WorkerID]bool
 	evacuated time.Time
 }
 
-// evacuate takes an order on the whole data centre; one that stands keeps its time.
-func (d *drainSet) evacuate(order evacuateOrder) {
+// setEvacuation applies an order for the whole data centre. A repeated order
+// keeps the time of the first.
+func (d *orderStore) setEvacuation(order evacuateOrder) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -44,45 +45,46 @@
 	}
 }
 
-// evacuatedSince returns the zero time while the data centre is in use.
-func (d *drainSet) evacuatedSince() time.Time {
+// evacuatedSince returns when the data centre was evacuated, or the zero time if
+// it is in use.
+func (d *orderStore) evacuatedSince() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.evacuated
 }
 
-func (d *drainSet) isEvacuated() bool { return !d.evacuatedSince().IsZero() }
+func (d *orderStore) isEvacuated() bool { return !d.evacuatedSince().IsZero() }
 
-func (d *drainSet) set(order drainOrder) {
+func (d *orderStore) setDrain(order drainOrder) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	next := make(map[domain.WorkerID]bool, len(d.workers)+1)
-	for id := range d.workers {
+	next := make(map[domain.WorkerID]bool, len(d.drained)+1)
+	for id := range d.drained {
 		next[id] = true
 	}
 	next[order.Worker] = true
 	if order.Undo {
 		delete(next, order.Worker)
 	}
-	d.workers = next
+	d.drained = next
 }
 
-// orders are what operators have asked for and nobody has recorded.
-type orders struct {
+// operatorOrders are the orders of operators, which are not recorded in the log.
+type operatorOrders struct {
 	Drained []domain.WorkerID `json:"drained,omitempty"`
 	// Evacuated is zero while the data centre is in use.
 	Evacuated time.Time `json:"evacuated,omitzero"`
 }
 
-// orders returns all orders in force.
-func (d *drainSet) orders() orders {
-	return orders{Drained: slices.Sorted(maps.Keys(d.current())), Evacuated: d.evacuatedSince()}
+// snapshot returns the orders in force.
+func (d *orderStore) snapshot() operatorOrders {
+	return operatorOrders{Drained: slices.Sorted(maps.Keys(d.drainedWorkers())), Evacuated: d.evacuatedSince()}
 }
 
-// take adds a peer's orders.
-func (d *drainSet) take(o orders) {
+// merge adds the orders in force at a peer.
+func (d *orderStore) merge(o operatorOrders) {
 	for _, worker := range o.Drained {
-		d.set(drainOrder{Worker: worker})
+		d.setDrain(drainOrder{Worker: worker})
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,11 +93,12 @@
 	}
 }
 
-// current returns the set; it is replaced and never changed.
-func (d *drainSet) current() map[domain.WorkerID]bool {
+// drainedWorkers returns the drained workers. The map is replaced, never
+// modified.
+func (d *orderStore) drainedWorkers() map[domain.WorkerID]bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.workers
+	return d.drained
 }
 
 func (in *Instance) wirePlanner(options Options) {
@@ -107,35 +110,36 @@
 		DataCentre: in.Settings.DataCentre, Instance: in.ID, Options: plannerOptions,
 		Workers: in.platform, Publisher: in, Jobs: in.jobs,
 		Configuration: in.configuration.Current, Fleet: in.fleet,
-		Draining: in.draining.current, Evacuated: in.draining.isEvacuated, LogDown: in.logAway,
-		Mine: in.plans, OnChange: in.planningChanged,
+		Draining: in.orders.drainedWorkers, Evacuated: in.orders.isEvacuated, LogDown: in.logUnreachable,
+		Mine: in.isPlanner, OnChange: in.setPlanning,
 	}
 	in.planner.Init()
 }
 
-// Submit accepts a job, here or in the data centre that it names.
+// Submit accepts a job, in this data centre or in the one that the job names.
 func (in *Instance) Submit(ctx context.Context, job domain.Job) (Accepted, error) {
 	if job.DataCentre == "" {
 		job.DataCentre = in.Settings.DataCentre
 	}
 	if job.DataCentre == in.Settings.DataCentre {
-		return in.submitHere(ctx, job)
+		return in.submitLocal(ctx, job)
 	}
 	var accepted Accepted
-	err := in.elsewhere(ctx, job.DataCentre, methodSubmit, job, &accepted)
+	err := in.callDataCentre(ctx, job.DataCentre, methodSubmit, job, &accepted)
 	return accepted, err
 }
 
-// elsewhere carries a call to an instance of another data centre. A submission
-// or a cancellation may be repeated: both are idempotent by the job's id.
-func (in *Instance) elsewhere(ctx context.Context, dc domain.DataCentre, method string, params, result any) error {
-	present := in.members.present(dc)
-	if len(present) == 0 {
+// callDataCentre calls an instance of another data centre, and tries the next one
+// if there is no answer. Submissions and cancellations may be repeated: both are
+// idempotent by the job's id.
+func (in *Instance) callDataCentre(ctx context.Context, dc domain.DataCentre, method string, params, result any) error {
+	live := in.members.live(dc)
+	if len(live) == 0 {
 		return domain.Refuse(domain.ReasonWrongDataCentre, "data_centre",
-			fmt.Sprintf("no instance of data centre %q is known at %q", dc, in.Settings.DataCentre),
-			"check the name; come back, or ask an instance of that data centre").After(time.Second)
+			fmt.Sprintf("no live instance of data centre %q is known in %q", dc, in.Settings.DataCentre),
+			"check the name; retry later, or use an instance of that data centre").After(time.Second)
 	}
-	for _, m := range present {
+	for _, m := range live {
 		err := in.callPeer(ctx, m.Address, method, params, result)
 		if err == nil {
 			return nil
@@ -145,13 +149,13 @@
 		}
 	}
 	return domain.OutcomeUnknown(domain.ReasonWrongDataCentre,
-		fmt.Sprintf("no instance of data centre %q answers from %q", dc, in.Settings.DataCentre)).After(time.Second)
+		fmt.Sprintf("no instance of data centre %q answers calls from %q", dc, in.Settings.DataCentre)).After(time.Second)
 }
 
-func (in *Instance) submitHere(ctx context.Context, job domain.Job) (Accepted, error) {
+func (in *Instance) submitLocal(ctx context.Context, job domain.Job) (Accepted, error) {
 	digest := admission.Digest(job)
 	if known, ok := in.jobs.Get(job.ID); ok {
-		return repeated(known, digest)
+		return repeatedSubmission(known, digest)
 	}
 	snapshot := in.configuration.Current()
 	if snapshot.Version == 0 {
@@ -166,20 +170,20 @@
 	if err != nil {
 		return Accepted{}, err
 	}
-	durability, err := in.publish(ctx, record)
+	durability, err := in.persist(ctx, record)
 	if err != nil {
 		return Accepted{}, err
 	}
 	in.Metrics.jobs.WithLabelValues(string(job.Class)).Inc()
-	return Accepted{ID: job.ID, Durability: durability}, in.confirmFirst(ctx, job.ID, digest)
+	return Accepted{ID: job.ID, Durability: durability}, in.confirmDigest(ctx, job.ID, digest)
 }
 
 func notConfigured() *domain.Refusal {
 	return domain.Refuse(domain.ReasonNotReady, "", "the instance has no configuration yet",
-		"apply declarations with cobaltctl apply, or come back after the time given").After(time.Second)
+		"apply declarations with cobaltctl apply, or retry after the given time").After(time.Second)
 }
 
-func repeated(known state.Status, digest string) (Accepted, error) {
+func repeatedSubmission(known state.Status, digest string) (Accepted, error) {
 	if known.Digest != digest {
 		return Accepted{}, idReused()
 	}
@@ -187,12 +191,13 @@
 }
 
 func idReused() *domain.Refusal {
-	return domain.Refuse(domain.ReasonIDReused, "id", "the id belongs to a job with another body", "use a new id for a new job")
+	return domain.Refuse(domain.ReasonIDReused, "id", "the id is in use by a job with another body", "use a new id for a new job")
 }
 
-// confirmFirst waits until the job is folded here. Of two submissions with one
-// id and different bodies the log's first stands, and the other is told so.
-func (in *Instance) confirmFirst(ctx context.Context, id domain.JobID, digest string) error {
+// confirmDigest waits until the job has been folded on this instance and refuses
+// the submission if the folded job has another body: of two submissions with the
+// same id, the first one in the log wins.
+func (in *Instance) confirmDigest(ctx context.Context, id domain.JobID, digest string) error {
 	for {
 		changed := in.jobs.Watch(id)
 		if known, ok := in.jobs.Get(id); ok {
@@ -204,28 +209,28 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return nil // it is in the log; the answer to a repeat settles the rest
+			return nil // the record is stored; a repeated submission gets the final answer
 		}
 	}
 }
 
-// unknownJob is the same for a job that does not exist and for another
-// account's, so that ids can't be probed.
+// unknownJob returns the same refusal for a job that does not exist and for one
+// of another account, so that callers can't probe for other accounts' ids.
 func unknownJob() *domain.Refusal {
-	return domain.Refuse(domain.ReasonNotFound, "id", "the account has no such job here",
-		"check the id; a job of another data centre is asked for with ?data_centre=NAME")
+	return domain.Refuse(domain.ReasonNotFound, "id", "the account has no such job in this data centre",
+		"check the id; for a job of another data centre add ?data_centre=NAME")
 }
 
-// jobsNotRead says that an unknown job may exist.
-func jobsNotRead() *domain.Refusal {
-	return domain.Refuse(domain.ReasonNotReady, "", "the instance can't tell yet whether there is such a job: it has not read all of them",
-		"ask again, or ask another instance").After(time.Second)
+// jobsNotLoaded returns the refusal for an unknown job that may exist.
+func jobsNotLoaded() *domain.Refusal {
+	return domain.Refuse(domain.ReasonNotReady, "", "the instance has not read all jobs yet, so the job may exist",
+		"retry, or use another instance").After(time.Second)
 }
 
-func (in *Instance) jobHere(q jobQuery) (state.Status, error) {
+func (in *Instance) localJob(q jobQuery) (state.Status, error) {
 	status, ok := in.jobs.Get(q.ID)
-	if !ok && !in.hasReadAll() {
-		return state.Status{}, jobsNotRead()
+	if !ok && !in.hasReadAllJobs() {
+		return state.Status{}, jobsNotLoaded()
 	}
 	if !ok || status.Job.Account != q.Account {
 		return state.Status{}, unknownJob()
@@ -237,14 +242,15 @@
 func (in *Instance) Job(ctx context.Context, account domain.AccountID, id domain.JobID, dc domain.DataCentre) (state.Status, error) {
 	q := jobQuery{Account: account, ID: id}
 	if dc == "" || dc == in.Settings.DataCentre {
-		return in.jobHere(q)
+		return in.localJob(q)
 	}
 	var status state.Status
-	err := in.elsewhere(ctx, dc, methodJob, q, &status)
+	err := in.callDataCentre(ctx, dc, methodJob, q, &status)
 	return status, err
 }
 
-// Wait returns the status once the job has ended, or when ctx ends.
+// Wait returns the job's status once the job has ended, or its latest status when
+// ctx ends.
 func (in *Instance) Wait(ctx context.Context, account domain.AccountID, id domain.JobID, dc domain.DataCentre) (state.Status, error) {
 	for {
 		changed := in.jobs.Watch(id)
@@ -259,12 +265,13 @@
 	}
 }
 
-// remotePoll is the interval at which a job elsewhere is asked for.
-const remotePoll = 500 * time.Millisecond
+// remotePollInterval is the interval at which Wait polls a job of another data
+// centre.
+const remotePollInterval = 500 * time.Millisecond
 
 func (in *Instance) waitForChange(ctx context.Context, changed <-chan struct{}, remote bool) bool {
 	if remote {
-		sleep(ctx, remotePoll)
+		sleep(ctx, remotePollInterval)
 		return ctx.Err() == nil
 	}
 	select {
@@ -275,8 +282,8 @@
 	}
 }
 
-func (in *Instance) cancelHere(ctx context.Context, q jobQuery) (Accepted, error) {
-	status, err := in.jobHere(q)
+func (in *Instance) cancelLocal(ctx context.Context, q jobQuery) (Accepted, error) {
+	status, err := in.localJob(q)
 	if err != nil {
 		return Accepted{}, err
 	}
@@ -287,33 +294,33 @@
 	if err != nil {
 		return Accepted{}, err
 	}
-	durability, err := in.publish(ctx, record)
+	durability, err := in.persist(ctx, record)
 	return Accepted{ID: q.ID, Durability: durability}, err
 }
 
-// Cancel asks for the end of an account's job. It may be repeated.
+// Cancel requests the cancellation of an account's job. It is idempotent.
 func (in *Instance) Cancel(ctx context.Context, account domain.AccountID, id domain.JobID, dc domain.DataCentre) (Accepted, error) {
 	q := jobQuery{Account: account, ID: id}
 	if dc == "" || dc == in.Settings.DataCentre {
-		return in.cancelHere(ctx, q)
+		return in.cancelLocal(ctx, q)
 	}
 	var accepted Accepted
-	err := in.elsewhere(ctx, dc, methodCancel, q, &accepted)
+	err := in.callDataCentre(ctx, dc, methodCancel, q, &accepted)
 	return accepted, err
 }
 
-// Explanation is a job's status with what holds it back.
+// Explanation is a job's status and the reason why it is not running.
 type Explanation struct {
 	Status state.Status `json:"status"`
-	// Held is set while a filter of the scheduler holds the job back.
+	// Held is set while the scheduler holds the job back.
 	Held *scheduler.Held `json:"held,omitempty"`
-	// Note says in a sentence what the job waits for.
+	// Note describes in one sentence what the job waits for.
 	Note string `json:"note"`
 }
 
-// Explain tells why a job waits.
+// Explain returns why a job waits.
 func (in *Instance) Explain(ctx context.Context, account domain.AccountID, id domain.JobID) (Explanation, error) {
-	status, err := in.jobHere(jobQuery{Account: account, ID: id})
+	status, err := in.localJob(jobQuery{Account: account, ID: id})
 	if err != nil {
 		return Explanation{}, err
 	}
@@ -321,9 +328,9 @@
 	if status.State != domain.JobWaiting {
 		return out, nil
 	}
-	answer := in.askPlanner(ctx, jobQuery{Account: account, ID: id})
+	answer := in.queryPlanner(ctx, jobQuery{Account: account, ID: id})
 	if !answer.OK {
-		out.Note = "the planner is about to consider the job, or none has taken over yet"
+		out.Note = "the planner has not considered the job yet, or there is no planner at the moment"
 		return out, nil
 	}
 	out.Held = &answer.Held
@@ -331,7 +338,7 @@
 	return out, nil
 }
 
-func (in *Instance) askPlanner(ctx context.Context, q jobQuery) heldAnswer {
+func (in *Instance) queryPlanner(ctx context.Context, q jobQuery) heldAnswer {
 	m, ok := in.members.planner(in.Settings.DataCentre)
 	if !ok {
 		return heldAnswer{}
@@ -347,13 +354,13 @@
 	return answer
 }
 
-// heldNotes say what each reason means for the caller.
+// heldNotes maps each reason to a description for callers.
 var heldNotes = map[scheduler.HeldReason]string{
-	scheduler.HeldNeverRunnable:  "the fleet has shrunk and could not hold the gang even if it were empty; ask for less, or wait for workers",
+	scheduler.HeldNeverRunnable:  "the fleet has shrunk and is too small for the gang even when idle; request less, or wait for workers",
 	scheduler.HeldTeamCeiling:    "the team would exceed its ceiling; wait for its other gangs, or have the ceiling raised",
 	scheduler.HeldAccountCeiling: "the account would borrow beyond its ceiling; wait for its other gangs, or have the ceiling raised",
-	scheduler.HeldReclaiming:     "borrowers are being stopped to make room; the gang starts when they are gone",
-	scheduler.HeldNoBlock:        "no block of workers is free that is large enough; the job keeps its place in the order",
-	scheduler.HeldReserved:       "a block is reserved for the gang and drains; see start_by",
-	scheduler.HeldBehind:         "another job goes first",
+	scheduler.HeldReclaiming:     "borrowing gangs are being stopped to free capacity; the gang starts once they have stopped",
+	scheduler.HeldNoBlock:        "no block of free workers is large enough; the job keeps its place in the queue",
+	scheduler.HeldReserved:       "a block of workers is reserved for the gang and is being freed; see start_by",
+	scheduler.HeldBehind:         "another job is ahead in the queue",
 }
--- a/instance/limit_listener.go
+++ b/instance/limit_listener.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// limitListener bounds the connections that are open at once; further ones wait
-// in the operating system's queue.
+// limitListener returns a listener that bounds the number of open connections;
+// further ones wait in the operating system's backlog.
 func limitListener(inner net.Listener, limit int) net.Listener {
-	return &boundedListener{Listener: inner, places: make(chan struct{}, limit), closed: make(chan struct{})}
+	return &boundedListener{Listener: inner, slots: make(chan struct{}, limit), closed: make(chan struct{})}
 }
 
 type boundedListener struct {
 	net.Listener
-	places chan struct{}
+	slots  chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
@@ -21,16 +21,16 @@
 // Accept implements net.Listener.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	select {
-	case l.places <- struct{}{}:
+	case l.slots <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.slots
 		return nil, err
 	}
-	return &boundedConn{Conn: conn, release: func() { <-l.places }}, nil
+	return &boundedConn{Conn: conn, release: func() { <-l.slots }}, nil
 }
 
 // Close implements net.Listener.
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Metrics are an instance's. Label sets are bounded: reasons and outcomes are
-// closed sets, classes are declared, and no label holds an id.
+// Metrics holds the metrics of an instance. Label sets are bounded: reasons and
+// outcomes are closed sets, classes are declared, and no label contains an id.
 type Metrics struct {
 	Registry   *prometheus.Registry
 	refusals   *prometheus.CounterVec
@@ -40,12 +40,13 @@
 	return m
 }
 
-// countBytes adds a counter of the bytes that cross a kind of sockets.
-func (m *Metrics) countBytes(with string, bytes func() (received, sent int64)) {
+// countBytes registers counters of the bytes received from and sent to a kind of
+// peer.
+func (m *Metrics) countBytes(peer string, bytes func() (received, sent int64)) {
 	add := func(direction string, value func() int64) {
 		m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "cobalttide_control_bytes_total", Help: "Bytes of control traffic, by the other side.",
-			ConstLabels: prometheus.Labels{"with": with, "direction": direction},
+			ConstLabels: prometheus.Labels{"with": peer, "direction": direction},
 		}, func() float64 { return float64(value()) }))
 	}
 	add("received", func() int64 { received, _ := bytes(); return received })
@@ -60,7 +61,7 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Name: name, Help: help})
 }
 
-// Refused counts a refusal.
+// Refused counts a refusal by its reason and outcome.
 func (m *Metrics) Refused(r *domain.Refusal) {
 	m.refusals.WithLabelValues(string(r.Reason), string(r.Outcome)).Inc()
 }
--- a/instance/operator.go
+++ b/instance/operator.go
@@ -23,28 +23,29 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// operatorBodyBytes bounds an operator's call.
+// operatorBodyBytes bounds the body of an operator's call.
 const operatorBodyBytes = 8 << 20
 
-// applyPatience bounds the wait for a change's place in the log's order.
-const applyPatience = 5 * time.Second
+// applyTimeout bounds the wait until a change has been read back from the log.
+const applyTimeout = 5 * time.Second
 
 func newReader(raw []byte) io.Reader { return bytes.NewReader(raw) }
 
-// operatorService implements the generated operators' interface.
+// operatorService implements the generated OperatorService.
 type operatorService struct{ in *Instance }
 
 func (s *operatorService) authorize(ctx context.Context) error {
 	info, ok := connect.CallInfoForHandlerContext(ctx)
 	if !ok {
-		return connect.NewError(connect.CodeUnauthenticated, fmt.Errorf("no call information"))
+		return connect.NewError(connect.CodeUnauthenticated, fmt.Errorf("the call context has no call information"))
 	}
 	declared := s.in.configuration.Current().Declarations
 	refusal := auth.Operator(auth.Bearer(info.RequestHeader()), declared, s.in.Settings.BootstrapOperatorTokenHash)
-	return s.refused(refusal)
+	return s.connectError(refusal)
 }
 
-// connectCode maps reasons to the codes of the operators' interface.
+// connectCode maps reasons to Connect error codes. All others map to
+// CodeUnavailable.
 var connectCode = map[domain.Reason]connect.Code{
 	domain.ReasonUnauthenticated: connect.CodeUnauthenticated,
 	domain.ReasonInvalid:         connect.CodeInvalidArgument,
@@ -53,8 +54,9 @@
 	domain.ReasonOutcomeUnknown:  connect.CodeUnknown,
 }
 
-// refused turns a refusal into the interface's error. A nil refusal is no error.
-func (s *operatorService) refused(r *domain.Refusal) error {
+// connectError counts a refusal and converts it to a Connect error. It returns nil
+// for a nil refusal.
+func (s *operatorService) connectError(r *domain.Refusal) error {
 	if r == nil {
 		return nil
 	}
@@ -71,7 +73,7 @@
 	return string(raw), err
 }
 
-// GetConfiguration implements the operators' interface.
+// GetConfiguration implements OperatorServiceHandler.
 func (s *operatorService) GetConfiguration(ctx context.Context, _ *cobalttidev1.GetConfigurationRequest) (*cobalttidev1.GetConfigurationResponse, error) {
 	if err := s.authorize(ctx); err != nil {
 		return nil, err
@@ -89,7 +91,7 @@
 	return d, configuration.Validate(d)
 }
 
-// Plan implements the operators' interface.
+// Plan implements OperatorServiceHandler.
 func (s *operatorService) Plan(ctx context.Context, r *cobalttidev1.PlanRequest) (*cobalttidev1.PlanResponse, error) {
 	if err := s.authorize(ctx); err != nil {
 		return nil, err
@@ -97,27 +99,28 @@
 	declared, problems := decodeDeclarations(r.DeclarationsJson)
 	current := s.in.configuration.Current()
 	if len(problems) == 0 {
-		problems = s.in.unmeetable(ctx, declared)
+		problems = s.in.feasibilityProblems(ctx, declared)
 	}
 	out := &cobalttidev1.PlanResponse{BaseVersion: uint64(current.Version)}
 	for _, p := range problems {
 		out.Problems = append(out.Problems, &cobalttidev1.Problem{Field: p.Field, Message: p.Message, Remedy: p.Remedy})
 	}
-	out.Changes = describe(current.Declarations, configuration.Diff(current.Declarations, declared))
-	out.Warnings = s.in.warnings(declared)
+	out.Changes = describeChanges(current.Declarations, configuration.Diff(current.Declarations, declared))
+	out.Warnings = s.in.preemptionWarnings(declared)
 	return out, nil
 }
 
-// describe lists a change's entries: added, changed and removed.
-func describe(current configuration.Declarations, change configuration.Change) []string {
+// describeChanges lists the entries that a change adds (+), changes (~) and
+// removes (-).
+func describeChanges(current configuration.Declarations, change configuration.Change) []string {
 	var out []string
 	for id, account := range change.Accounts {
 		_, known := current.Accounts[id]
-		out = append(out, sign(known, account == nil)+" accounts."+string(id))
+		out = append(out, changeSign(known, account == nil)+" accounts."+string(id))
 	}
 	for name, class := range change.Classes {
 		_, known := current.Classes[name]
-		out = append(out, sign(known, class == nil)+" classes."+string(name))
+		out = append(out, changeSign(known, class == nil)+" classes."+string(name))
 	}
 	if len(change.OperatorTokenHashes) > 0 {
 		out = append(out, "~ operator_token_hashes")
@@ -126,7 +129,7 @@
 	return out
 }
 
-func sign(known, removed bool) string {
+func changeSign(known, removed bool) string {
 	switch {
 	case removed:
 		return "-"
@@ -136,27 +139,27 @@
 	return "+"
 }
 
-// unmeetable finds guarantees that do not pack into the data centres' workers,
-// and classes that are removed while jobs of theirs have not ended.
-func (in *Instance) unmeetable(ctx context.Context, d configuration.Declarations) configuration.Problems {
+// feasibilityProblems returns the guarantees that do not fit into the data
+// centres' workers, and removed classes with jobs that have not ended.
+func (in *Instance) feasibilityProblems(ctx context.Context, d configuration.Declarations) configuration.Problems {
 	var problems configuration.Problems
-	for dc, workers := range in.allFleets(ctx) {
+	for dc, workers := range in.workersByDataCentre(ctx) {
 		cluster := placement.NewCluster(workers)
 		for _, unmet := range guarantee.Bind(cluster, dc, d.Accounts, guarantee.Binding{}).Unmet {
 			problems = append(problems, configuration.Problem{
 				Field:   "accounts." + string(unmet.Account) + ".guarantees",
-				Message: fmt.Sprintf("a block of %d tasks does not pack into %s beside the others; %d tasks would", unmet.Shape.Tasks, dc, unmet.Largest),
-				Remedy:  "guarantee less there, or add workers first",
+				Message: fmt.Sprintf("a block of %d tasks does not fit into %s beside the other guarantees; the largest that does has %d tasks", unmet.Shape.Tasks, dc, unmet.Largest),
+				Remedy:  "reduce the guarantee there, or add workers first",
 			})
 		}
 	}
-	problems = append(problems, in.unreadUses(d)...)
+	problems = append(problems, in.unverifiedClassRemovals(d)...)
 	sort.Slice(problems, func(i, j int) bool { return problems[i].String() < problems[j].String() })
 	active, _ := in.jobs.Active()
 	for _, status := range active {
 		if _, kept := d.Classes[status.Job.Class]; !kept {
 			problems = append(problems, configuration.Problem{
-				Field: "classes." + string(status.Job.Class), Message: "is removed while jobs of it have not ended", Remedy: "keep it until they have",
+				Field: "classes." + string(status.Job.Class), Message: "is removed while jobs of the class have not ended", Remedy: "keep it until they have ended",
 			})
 			break
 		}
@@ -164,27 +167,27 @@
 	return problems
 }
 
-// unreadUses lists the classes that are removed while it is not known whether jobs
-// of them have ended.
-func (in *Instance) unreadUses(d configuration.Declarations) configuration.Problems {
-	if in.hasReadAll() {
+// unverifiedClassRemovals returns a problem for each removed class if the instance
+// has not read all jobs, and so can't tell whether jobs of the class have ended.
+func (in *Instance) unverifiedClassRemovals(d configuration.Declarations) configuration.Problems {
+	if in.hasReadAllJobs() {
 		return nil
 	}
 	var problems configuration.Problems
 	for name := range in.configuration.Current().Declarations.Classes {
 		if _, kept := d.Classes[name]; !kept {
 			problems = append(problems, configuration.Problem{
-				Field: "classes." + string(name), Message: "is removed while the instance has not read all jobs", Remedy: "come back, or ask another instance",
+				Field: "classes." + string(name), Message: "is removed while the instance has not read all jobs", Remedy: "retry later, or use another instance",
 			})
 		}
 	}
 	return problems
 }
 
-// allFleets returns the workers of every data centre, or, while the platform's
-// list is away, of this one.
-func (in *Instance) allFleets(ctx context.Context) map[domain.DataCentre][]domain.Worker {
-	listCtx, cancel := context.WithTimeout(ctx, listEvery)
+// workersByDataCentre returns the workers of every data centre, or only those of
+// this one if the platform's list can't be read.
+func (in *Instance) workersByDataCentre(ctx context.Context) map[domain.DataCentre][]domain.Worker {
+	listCtx, cancel := context.WithTimeout(ctx, listInterval)
 	defer cancel()
 	workers := in.fleet()
 	if all, err := in.platform.List(listCtx, port.ListQuery{}); err == nil {
@@ -197,49 +200,51 @@
 	return out
 }
 
-// warnings says which running borrowers a new binding may have to stop.
-func (in *Instance) warnings(d configuration.Declarations) []string {
+// preemptionWarnings returns a warning for each running job that borrows workers
+// and can't be preempted: a guarantee on these workers has to wait for its end.
+func (in *Instance) preemptionWarnings(d configuration.Declarations) []string {
 	var out []string
 	active, _ := in.jobs.Active()
 	for _, status := range active {
 		class := d.Classes[status.Job.Class]
 		if status.State == domain.JobRunning && !status.Guaranteed && !class.Preemptible() {
-			out = append(out, fmt.Sprintf("job %s borrows and can't be preempted: a guarantee on its workers has to wait for its end", status.Job.ID))
+			out = append(out, fmt.Sprintf("job %s borrows workers and can't be preempted: a guarantee on these workers has to wait for its end", status.Job.ID))
 		}
 	}
 	return out
 }
 
-// Apply implements the operators' interface.
+// Apply implements OperatorServiceHandler.
 func (s *operatorService) Apply(ctx context.Context, r *cobalttidev1.ApplyRequest) (*cobalttidev1.ApplyResponse, error) {
 	if err := s.authorize(ctx); err != nil {
 		return nil, err
 	}
 	version, refusal := s.in.Apply(ctx, r.DeclarationsJson, configuration.Version(r.BaseVersion), r.ChangeId, r.Operator)
 	if refusal != nil {
-		return nil, s.refused(refusal)
+		return nil, s.connectError(refusal)
 	}
 	return &cobalttidev1.ApplyResponse{Version: uint64(version)}, nil
 }
 
-// Apply makes declarations the configuration. The log's order settles races.
+// Apply makes the declarations the configuration in force. Of concurrent changes
+// to the same version, the first one in the log wins.
 func (in *Instance) Apply(ctx context.Context, declarations string, base configuration.Version, id, operator string) (configuration.Version, *domain.Refusal) {
 	declared, problems := decodeDeclarations(declarations)
 	if len(problems) == 0 {
-		problems = in.unmeetable(ctx, declared)
+		problems = in.feasibilityProblems(ctx, declared)
 	}
 	if len(problems) > 0 {
-		return 0, domain.Refuse(domain.ReasonInvalid, problems[0].Field, strings.TrimSpace(problems.Error()), "mend the declarations; see cobaltctl plan")
+		return 0, domain.Refuse(domain.ReasonInvalid, problems[0].Field, strings.TrimSpace(problems.Error()), "correct the declarations; see cobaltctl plan")
 	}
 	if id == "" {
-		return 0, domain.Refuse(domain.ReasonInvalid, "change_id", "is missing", "name the change, so that it can be repeated safely")
+		return 0, domain.Refuse(domain.ReasonInvalid, "change_id", "is missing", "give the change an id, so that it can be repeated safely")
 	}
 	if outcome, ok := in.configuration.Outcome(id, base); ok {
-		return settled(outcome)
+		return changeResult(outcome)
 	}
 	current := in.configuration.Current()
 	if current.Version != base {
-		return 0, conflict(current.Version)
+		return 0, versionConflict(current.Version)
 	}
 	change := configuration.Diff(current.Declarations, declared)
 	if change.Empty() {
@@ -254,41 +259,41 @@
 	if err != nil {
 		return 0, domain.AsRefusal(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, applyPatience)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	_, appendErr := in.journal.Append(ctx, state.ConfigurationStream, record)
 	for {
 		outcome, ok := in.configuration.Outcome(change.ID, change.Base)
 		if ok {
-			return settled(outcome)
+			return changeResult(outcome)
 		}
 		select {
-		case <-time.After(recordPoll):
+		case <-time.After(foldPollInterval):
 		case <-ctx.Done():
-			return 0, notSettled(appendErr)
+			return 0, changeOutcomeUnknown(appendErr)
 		}
 	}
 }
 
-func settled(o configuration.Outcome) (configuration.Version, *domain.Refusal) {
+func changeResult(o configuration.Outcome) (configuration.Version, *domain.Refusal) {
 	if o.Accepted {
 		return o.Version, nil
 	}
-	return 0, conflict(o.Version)
+	return 0, versionConflict(o.Version)
 }
 
-func conflict(newer configuration.Version) *domain.Refusal {
-	return domain.Refuse(domain.ReasonConflict, "base_version", fmt.Sprintf("version %d is in force by now", newer),
-		"look at the newer version with cobaltctl plan, then apply again")
+func versionConflict(inForce configuration.Version) *domain.Refusal {
+	return domain.Refuse(domain.ReasonConflict, "base_version", fmt.Sprintf("version %d is in force", inForce),
+		"check the change against that version with cobaltctl plan, then apply again")
 }
 
-func notSettled(cause error) *domain.Refusal {
-	refusal := domain.OutcomeUnknown(domain.ReasonOutcomeUnknown, fmt.Sprintf("the log did not say in time whether the change counts (%v)", cause))
-	refusal.Remedy = "repeat it with the same change_id: it is applied at most once"
+func changeOutcomeUnknown(cause error) *domain.Refusal {
+	refusal := domain.OutcomeUnknown(domain.ReasonOutcomeUnknown, fmt.Sprintf("timed out waiting for the log to confirm the change (append error: %v)", cause))
+	refusal.Remedy = "repeat the call with the same change_id: the change is applied at most once"
 	return refusal.After(time.Second)
 }
 
-// History implements the operators' interface.
+// History implements OperatorServiceHandler.
 func (s *operatorService) History(ctx context.Context, r *cobalttidev1.HistoryRequest) (*cobalttidev1.HistoryResponse, error) {
 	if err := s.authorize(ctx); err != nil {
 		return nil, err
@@ -310,10 +315,10 @@
 	return out, nil
 }
 
-// Drain implements the operators' interface. Peers of the data centre are told
-// too, and pass it on to instances that start later, so that the order outlives
-// a change of planner; it is not recorded, and an operator repeats it after all
-// instances were lost at once.
+// Drain implements OperatorServiceHandler. The order is sent to the data centre's
+// peers, which send it to instances that start later, so that it survives a
+// change of planner. It is not recorded in the log: after a loss of all instances
+// at once, an operator has to repeat it.
 func (s *operatorService) Drain(ctx context.Context, r *cobalttidev1.DrainRequest) (*cobalttidev1.DrainResponse, error) {
 	if err := s.authorize(ctx); err != nil {
 		return nil, err
@@ -324,18 +329,18 @@
 		known = known || worker.ID == order.Worker
 	}
 	if !known {
-		return nil, s.refused(domain.Refuse(domain.ReasonNotFound, "worker", "is not listed in this data centre",
-			"check the name, or ask an instance of the worker's data centre"))
+		return nil, s.connectError(domain.Refuse(domain.ReasonNotFound, "worker", "is not listed in this data centre",
+			"check the name, or use an instance of the worker's data centre"))
 	}
-	s.in.draining.set(order)
-	s.tellPeers(ctx, methodDrain, order)
+	s.in.orders.setDrain(order)
+	s.notifyPeers(ctx, methodDrain, order)
 	return &cobalttidev1.DrainResponse{}, nil
 }
 
-// tellPeers gives an order to the other instances of the data centre; the planner is
-// among those that answer.
-func (s *operatorService) tellPeers(ctx context.Context, method string, order any) {
-	for _, m := range s.in.members.present(s.in.Settings.DataCentre) {
+// notifyPeers sends an order to the other live instances of the data centre, one
+// of which is the planner unless this instance is.
+func (s *operatorService) notifyPeers(ctx context.Context, method string, order any) {
+	for _, m := range s.in.members.live(s.in.Settings.DataCentre) {
 		var ok bool
 		if m.ID != s.in.ID {
 			_ = s.in.callPeer(ctx, m.Address, method, order, &ok)
@@ -343,23 +348,23 @@
 	}
 }
 
-// Evacuate implements the operators' interface. Like Drain it is told to all peers and
-// not recorded.
+// Evacuate implements OperatorServiceHandler. Like that of Drain, its order is sent
+// to all peers and not recorded in the log.
 func (s *operatorService) Evacuate(ctx context.Context, r *cobalttidev1.EvacuateRequest) (*cobalttidev1.EvacuateResponse, error) {
 	if err := s.authorize(ctx); err != nil {
 		return nil, err
 	}
 	if own := s.in.Settings.DataCentre; r.DataCentre != string(own) {
-		return nil, s.refused(domain.Refuse(domain.ReasonWrongDataCentre, "data_centre", "is not that of this instance, "+string(own),
-			"ask an instance of the data centre"))
+		return nil, s.connectError(domain.Refuse(domain.ReasonWrongDataCentre, "data_centre", "is not that of this instance, "+string(own),
+			"use an instance of the data centre"))
 	}
 	order := evacuateOrder{Undo: r.Undo}
-	s.in.draining.evacuate(order)
-	s.tellPeers(ctx, methodEvacuate, order)
+	s.in.orders.setEvacuation(order)
+	s.notifyPeers(ctx, methodEvacuate, order)
 	return &cobalttidev1.EvacuateResponse{}, nil
 }
 
-// Status implements the operators' interface.
+// Status implements OperatorServiceHandler.
 func (s *operatorService) Status(ctx context.Context, _ *cobalttidev1.StatusRequest) (*cobalttidev1.StatusResponse, error) {
 	if err := s.authorize(ctx); err != nil {
 		return nil, err
@@ -372,11 +377,11 @@
 		ConfigurationVersion: uint64(in.configuration.Current().Version), LogAgeMs: in.logAgeMs(),
 		JobsActive: uint32(len(active)), RecordsPending: uint32(in.journal.Pending()),
 	}
-	if since := in.draining.evacuatedSince(); !since.IsZero() {
+	if since := in.orders.evacuatedSince(); !since.IsZero() {
 		out.EvacuatedMs = max(1, time.Since(since).Milliseconds())
 	}
 	for _, m := range in.members.all() {
-		out.Peers = append(out.Peers, peerOf(m))
+		out.Peers = append(out.Peers, toPeer(m))
 	}
 	for _, unmet := range in.jobs.Binding().Unmet {
 		out.Unmet = append(out.Unmet, &cobalttidev1.UnmetGuarantee{
@@ -386,7 +391,7 @@
 	return out, nil
 }
 
-func peerOf(m membership.Member) *cobalttidev1.Peer {
+func toPeer(m membership.Member) *cobalttidev1.Peer {
 	return &cobalttidev1.Peer{Instance: string(m.ID), DataCentre: string(m.DataCentre), Address: m.Address, State: string(m.State)}
 }
 
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -15,12 +15,12 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// The methods that peers call.
+// The methods of the interface between peers.
 const (
 	methodPing          = "member.ping"
 	methodConfiguration = "configuration.get"
 	methodImage         = "state.image"
-	methodHold          = "state.hold"
+	methodStoreCopy     = "state.hold"
 	methodSubmit        = "job.submit"
 	methodJob           = "job.get"
 	methodCancel        = "job.cancel"
@@ -32,7 +32,7 @@
 // callTimeout bounds a call to a peer.
 const callTimeout = 2 * time.Second
 
-// refusalCode is the jsonrpc2 code of an error that carries a refusal.
+// refusalCode is the JSON-RPC code of an error whose data is a refusal.
 const refusalCode jrpc2.Code = -32050
 
 func (in *Instance) peerMethods() handler.Map {
@@ -40,18 +40,19 @@
 		methodPing:          handler.New(in.servePing),
 		methodConfiguration: handler.New(in.serveConfiguration),
 		methodImage:         handler.New(in.serveImage),
-		methodHold:          handler.New(in.serveHold),
-		methodSubmit:        handler.New(refusing(in.serveSubmit)),
-		methodJob:           handler.New(refusing(in.serveJob)),
-		methodCancel:        handler.New(refusing(in.serveCancel)),
+		methodStoreCopy:     handler.New(in.serveStoreCopy),
+		methodSubmit:        handler.New(withRefusalData(in.serveSubmit)),
+		methodJob:           handler.New(withRefusalData(in.serveJob)),
+		methodCancel:        handler.New(withRefusalData(in.serveCancel)),
 		methodHeld:          handler.New(in.serveHeld),
 		methodDrain:         handler.New(in.serveDrain),
 		methodEvacuate:      handler.New(in.serveEvacuate),
 	}
 }
 
-// refusing turns a refusal into an error whose data carries it whole.
-func refusing[P, R any](f func(context.Context, P) (R, error)) func(context.Context, P) (R, error) {
+// withRefusalData converts a refusal to a JSON-RPC error with the whole refusal as
+// its data.
+func withRefusalData[P, R any](f func(context.Context, P) (R, error)) func(context.Context, P) (R, error) {
 	return func(ctx context.Context, params P) (R, error) {
 		result, err := f(ctx, params)
 		if err == nil {
@@ -62,8 +63,8 @@
 	}
 }
 
-// callPeer calls a peer and brings back the refusal that it answered. A call
-// without an answer leaves the outcome unknown.
+// callPeer calls a peer. If the peer refuses the call, the error is its refusal;
+// after any other error the outcome is unknown.
 func (in *Instance) callPeer(ctx context.Context, address, method string, params, result any) error {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -80,13 +81,13 @@
 }
 
 func (in *Instance) servePing(ctx context.Context, p ping) (ping, error) {
-	in.takePing(p)
+	in.mergePing(p)
 	if p.Target != nil {
 		answer, err := in.sendPing(ctx, p.Target.Address, in.newPing(p.Target.ID), probeTimeout/2)
 		if err != nil {
 			return ping{}, err
 		}
-		in.takePing(answer)
+		in.mergePing(answer)
 	}
 	return in.newPing(p.From.ID), nil
 }
@@ -95,55 +96,58 @@
 	return in.configuration.Current(), nil
 }
 
-// recovered is what a new instance takes from a peer: the jobs, and the records
-// that wait for the log, so that copies outlive the replacement of instances,
-// the configuration that the jobs are planned by, and operators' orders.
-type recovered struct {
+// peerState is what a new instance fetches from a peer: the jobs, the records that
+// are not in the log yet, so that their copies survive the replacement of
+// instances, the configuration that the jobs are planned with, and the operators'
+// orders.
+type peerState struct {
 	Image         state.Image            `json:"image"`
-	Held          []hold                 `json:"held,omitempty"`
+	Held          []recordCopy           `json:"held,omitempty"`
 	Configuration configuration.Snapshot `json:"configuration"`
-	// Orders are not in the log: only peers can pass them on.
-	Orders orders `json:"orders"`
-	// Recovered tells whether the peer has read all or was told by one that has.
+	// Orders are not in the log, so only peers have them.
+	Orders operatorOrders `json:"orders"`
+	// Recovered is set if the peer has read the whole state, from the log or from
+	// another peer that had.
 	Recovered bool `json:"recovered,omitempty"`
 }
 
-func (in *Instance) serveImage(context.Context) (recovered, error) {
-	return recovered{
-		// Read before the rest: what the peer has then is in it.
+func (in *Instance) serveImage(context.Context) (peerState, error) {
+	return peerState{
+		// Read first: the fields that follow include all that was recovered by then.
 		Recovered: in.recovered.Load(),
 		Image:     in.jobs.Image(), Held: in.held.all(), Configuration: in.configuration.Current(),
-		Orders: in.draining.orders(),
+		Orders: in.orders.snapshot(),
 	}, nil
 }
 
-func (in *Instance) serveHold(_ context.Context, h hold) (bool, error) {
-	if !in.held.add(h.Stream, h.Record, false) {
+func (in *Instance) serveStoreCopy(_ context.Context, c recordCopy) (bool, error) {
+	if !in.held.add(c.Stream, c.Record, false) {
 		return false, nil
 	}
-	in.foldHeld(h.Stream, h.Record)
+	in.foldHeld(c.Stream, c.Record)
 	return true, nil
 }
 
 func (in *Instance) serveSubmit(ctx context.Context, job domain.Job) (Accepted, error) {
-	return in.submitHere(ctx, job)
+	return in.submitLocal(ctx, job)
 }
 
-// jobQuery names a job of one account.
+// jobQuery identifies a job of one account.
 type jobQuery struct {
 	Account domain.AccountID `json:"account"`
 	ID      domain.JobID     `json:"id"`
 }
 
 func (in *Instance) serveJob(_ context.Context, q jobQuery) (state.Status, error) {
-	return in.jobHere(q)
+	return in.localJob(q)
 }
 
 func (in *Instance) serveCancel(ctx context.Context, q jobQuery) (Accepted, error) {
-	return in.cancelHere(ctx, q)
+	return in.cancelLocal(ctx, q)
 }
 
-// heldAnswer is why a job waits, if the asked instance plans and holds it back.
+// heldAnswer is why a job waits. OK is set if the asked instance is the planner
+// and holds the job back.
 type heldAnswer struct {
 	Held scheduler.Held `json:"held"`
 	OK   bool           `json:"ok"`
@@ -154,23 +158,23 @@
 	return heldAnswer{Held: held, OK: ok}, nil
 }
 
-// drainOrder empties a worker, or puts it back in use.
+// drainOrder drains a worker, or with Undo puts it back in use.
 type drainOrder struct {
 	Worker domain.WorkerID `json:"worker"`
 	Undo   bool            `json:"undo"`
 }
 
-// evacuateOrder lets a data centre get nothing new, or takes it back.
+// evacuateOrder stops new work in the data centre, or with Undo allows it again.
 type evacuateOrder struct {
 	Undo bool `json:"undo"`
 }
 
 func (in *Instance) serveEvacuate(_ context.Context, order evacuateOrder) (bool, error) {
-	in.draining.evacuate(order)
+	in.orders.setEvacuation(order)
 	return true, nil
 }
 
 func (in *Instance) serveDrain(_ context.Context, order drainOrder) (bool, error) {
-	in.draining.set(order)
+	in.orders.setDrain(order)
 	return true, nil
 }
--- a/instance/records.go
+++ b/instance/records.go
@@ -17,49 +17,53 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// Durability says where an accepted record is safe.
+// Durability is where an accepted record is stored.
 type Durability string
 
-// The durabilities that callers are told.
+// The durabilities that are reported to callers.
 const (
-	// InLog: the platform's log has it.
+	// InLog means that the record is in the platform's log.
 	InLog Durability = "log"
-	// InMemory: the log is away; copies are in the memory of this and other
-	// instances, and go into the log when it is back.
+	// InMemory means that the log is unreachable: copies are in the memory of this
+	// and other instances, and are appended to the log once it is reachable again.
 	InMemory Durability = "memory"
 )
 
-// Bounds of the holdover.
+// Parameters of holding records in memory while the log is unreachable.
 const (
-	// logPatience is how long a record waits for the log before copies go to
-	// peers.
-	logPatience = time.Second
-	// minCopies is how many instances hold a record before it is accepted, this
-	// one included.
+	// logTimeout is how long an append may take before copies of the record are
+	// sent to peers.
+	logTimeout = time.Second
+	// minCopies is the number of instances, this one included, that must have a
+	// copy of a record before it is accepted without the log.
 	minCopies = 2
-	// copiesElsewhere is how many instances of other data centres hold a record,
-	// in case the data centre is lost; docs/CAPACITY.md works out what two buy.
-	copiesElsewhere = 2
-	// maxHeld bounds the records that one instance holds.
-	maxHeld = 50_000
-	// heldEvery is the interval at which held records are offered to the log,
-	// heldPatience the time that its first holder has to do so alone.
-	heldEvery    = 2 * time.Second
-	heldPatience = 6 * time.Second
-	// logAwayAfter is the time without a successful read after which the log
-	// counts as away. An empty read waits for up to readWait.
-	logAwayAfter = 4 * time.Second
+	// remoteCopies is the number of instances of other data centres that get a
+	// copy, in case the data centre is lost; docs/CAPACITY.md derives the effect
+	// of two.
+	remoteCopies = 2
+	// maxHeldRecords bounds the records that one instance holds in memory.
+	maxHeldRecords = 50_000
+	// heldCheckInterval is the interval at which held records of other instances
+	// are checked. They are appended after heldTakeoverDelay, until which this is
+	// left to the instance that accepted the record.
+	heldCheckInterval = 2 * time.Second
+	heldTakeoverDelay = 6 * time.Second
+	// logUnreachableAfter is the time without a successful read after which the log
+	// is considered unreachable. An empty read waits for up to readWait.
+	logUnreachableAfter = 4 * time.Second
 )
 
+// heldRecord is a record that is held in memory. queued is set if this instance
+// appends it to the log itself.
 type heldRecord struct {
 	stream  port.Stream
 	record  port.Record
-	since   time.Time
-	offered bool
+	addedAt time.Time
+	queued  bool
 }
 
-// heldRecords are records that wait for the log to come back. It is a buffer:
-// nothing is looked up in it.
+// heldRecords buffers the records that are held in memory until they are in the
+// log. It is not used for queries.
 type heldRecords struct {
 	mu      sync.Mutex
 	records map[string]*heldRecord
@@ -67,20 +71,20 @@
 
 func newHeldRecords() *heldRecords { return &heldRecords{records: map[string]*heldRecord{}} }
 
-func (h *heldRecords) add(stream port.Stream, record port.Record, offered bool) bool {
+func (h *heldRecords) add(stream port.Stream, record port.Record, queued bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, known := h.records[record.ID]; known {
 		return true
 	}
-	if len(h.records) >= maxHeld {
+	if len(h.records) >= maxHeldRecords {
 		return false
 	}
-	h.records[record.ID] = &heldRecord{stream: stream, record: record, since: time.Now(), offered: offered}
+	h.records[record.ID] = &heldRecord{stream: stream, record: record, addedAt: time.Now(), queued: queued}
 	return true
 }
 
-func (h *heldRecords) seen(id string) {
+func (h *heldRecords) remove(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.records, id)
@@ -92,20 +96,20 @@
 	return len(h.records)
 }
 
-// all returns the records in the order in which they came.
-func (h *heldRecords) all() []hold {
+// all returns the records in order of arrival.
+func (h *heldRecords) all() []recordCopy {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	records := slices.SortedFunc(maps.Values(h.records), func(a, b *heldRecord) int { return a.since.Compare(b.since) })
-	out := make([]hold, 0, len(records))
+	records := slices.SortedFunc(maps.Values(h.records), func(a, b *heldRecord) int { return a.addedAt.Compare(b.addedAt) })
+	out := make([]recordCopy, 0, len(records))
 	for _, r := range records {
-		out = append(out, hold{Stream: r.stream, Record: r.record})
+		out = append(out, recordCopy{Stream: r.stream, Record: r.record})
 	}
 	return out
 }
 
-// of returns the records of one stream.
-func (h *heldRecords) of(stream port.Stream) []port.Record {
+// forStream returns the records of one stream in order of arrival.
+func (h *heldRecords) forStream(stream port.Stream) []port.Record {
 	var out []port.Record
 	for _, held := range h.all() {
 		if held.Stream == stream {
@@ -115,162 +119,166 @@
 	return out
 }
 
-// due returns records that their first holder has not got into the log in time.
-func (h *heldRecords) due(now time.Time) []heldRecord {
+// takeOverdue returns the records that the accepting instance has not got into
+// the log within heldTakeoverDelay, and marks them as queued.
+func (h *heldRecords) takeOverdue(now time.Time) []heldRecord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []heldRecord
 	for _, r := range h.records {
-		if !r.offered && now.Sub(r.since) > heldPatience {
-			r.offered = true
+		if !r.queued && now.Sub(r.addedAt) > heldTakeoverDelay {
+			r.queued = true
 			out = append(out, *r)
 		}
 	}
 	return out
 }
 
-// hold is a record on its way to a peer's memory.
-type hold struct {
+// recordCopy is a copy of a record that is sent to a peer.
+type recordCopy struct {
 	Stream port.Stream `json:"stream"`
 	Record port.Record `json:"record"`
 }
 
-// spread copies a record to peers and returns how many instances have it, and
-// whether some may have it whose answer was lost. All
-// of the data centre get it, because any of them may have to plan, and some
-// elsewhere.
-func (in *Instance) spread(ctx context.Context, stream port.Stream, record port.Record) (copies int, unsure bool) {
+// replicate sends a record to peers. It returns how many instances have a copy,
+// and whether others may have one because their answer was lost. All live
+// instances of the data centre get it, because each may become the planner, and
+// remoteCopies instances of other data centres.
+func (in *Instance) replicate(ctx context.Context, stream port.Stream, record port.Record) (copies int, uncertain bool) {
 	if !in.held.add(stream, record, true) {
 		return 0, false
 	}
 	copies = 1
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, address := range in.holders() {
+	for _, address := range in.replicaAddresses() {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			var ok bool
-			err := in.peers.Call(callCtx, address, methodHold, hold{stream, record}, &ok)
+			err := in.peers.Call(callCtx, address, methodStoreCopy, recordCopy{stream, record}, &ok)
 			mu.Lock()
 			defer mu.Unlock()
-			unsure = unsure || err != nil
+			uncertain = uncertain || err != nil
 			if ok {
 				copies++
 			}
 		}()
 	}
 	wg.Wait()
-	return copies, unsure
+	return copies, uncertain
 }
 
-func (in *Instance) holders() []string {
+func (in *Instance) replicaAddresses() []string {
 	var out []string
-	elsewhere := 0
+	remote := 0
 	for _, m := range in.members.all() {
 		if m.ID == in.ID || m.State == "dead" || m.State == "left" {
 			continue
 		}
-		home := m.DataCentre == in.Settings.DataCentre
-		if home || elsewhere < copiesElsewhere {
+		local := m.DataCentre == in.Settings.DataCentre
+		if local || remote < remoteCopies {
 			out = append(out, m.Address)
 		}
-		if !home {
-			elsewhere++
+		if !local {
+			remote++
 		}
 	}
 	return out
 }
 
-// foldHeld makes a record count here although the log does not have it yet.
+// foldHeld folds a held record that is not in the log yet, so that it takes
+// effect on this instance.
 func (in *Instance) foldHeld(stream port.Stream, record port.Record) {
 	if stream != state.JobStream(in.Settings.DataCentre) {
 		return
 	}
 	if err := in.jobs.Fold(record); err != nil {
-		in.log.WithError(err).Warn("a held record was passed over")
+		in.log.WithError(err).Warn("skipped an unreadable held record")
 	}
 }
 
-// heldLoop offers records to the log whose first holder may be gone.
+// heldLoop appends held records that their accepting instance has not got into the
+// log in time, because it may be gone.
 func (in *Instance) heldLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, heldEvery)
+		sleep(ctx, heldCheckInterval)
 		in.Metrics.held.Set(float64(in.held.count()))
-		if in.logAway() {
+		if in.logUnreachable() {
 			continue
 		}
-		for _, r := range in.held.due(time.Now()) {
+		for _, r := range in.held.takeOverdue(time.Now()) {
 			done, err := in.journal.Keep(r.stream, r.record)
 			if err != nil {
-				return // the journal is closed: the instance ends
+				return // the journal is closed: the instance is stopping
 			}
-			in.spawn(ctx, func(ctx context.Context) { in.dropOnceDone(ctx, r.record.ID, done) })
+			in.spawn(ctx, func(ctx context.Context) { in.dropOnceAppended(ctx, r.record.ID, done) })
 		}
 	}
 }
 
-// dropOnceDone lets go of a record that is in the log. Records of other data
-// centres are not read here, so that seeing them can't be waited for.
-func (in *Instance) dropOnceDone(ctx context.Context, id string, done <-chan struct{}) {
+// dropOnceAppended releases a held record once its append has completed. Records
+// of other data centres are not read by this instance, so reading them back can't
+// release them.
+func (in *Instance) dropOnceAppended(ctx context.Context, id string, appended <-chan struct{}) {
 	select {
-	case <-done:
-		in.held.seen(id)
+	case <-appended:
+		in.held.remove(id)
 	case <-ctx.Done():
 	}
 }
 
-// publish accepts a record for good: in the log, or in the memory of enough
-// instances. The error is a refusal that says whether the record may still
-// appear.
-func (in *Instance) publish(ctx context.Context, record port.Record) (Durability, error) {
+// persist stores a record in the log, or in the memory of at least minCopies
+// instances. The error is a refusal whose outcome says whether the record may
+// still take effect.
+func (in *Instance) persist(ctx context.Context, record port.Record) (Durability, error) {
 	stream := state.JobStream(in.Settings.DataCentre)
-	appendCtx, cancel := context.WithTimeout(ctx, logPatience)
+	appendCtx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	_, err := in.journal.Append(appendCtx, stream, record)
 	if err == nil {
 		return InLog, nil
 	}
-	copies, unsure := in.spread(ctx, stream, record)
+	copies, uncertain := in.replicate(ctx, stream, record)
 	if copies >= minCopies {
 		if _, keepErr := in.journal.Keep(stream, record); keepErr == nil {
 			in.foldHeld(stream, record)
 			return InMemory, nil
 		}
 	}
-	in.held.seen(record.ID)
-	if errors.Is(err, state.ErrNotSent) && copies <= 1 && !unsure {
-		return "", domain.Refuse(domain.ReasonLogUnavailable, "", "the log is away and no other instance could hold a copy",
-			"repeat it with the same id").After(logPatience)
+	in.held.remove(record.ID)
+	if errors.Is(err, state.ErrNotSent) && copies <= 1 && !uncertain {
+		return "", domain.Refuse(domain.ReasonLogUnavailable, "", "the log is unreachable and no other instance could store a copy",
+			"repeat the call with the same id").After(logTimeout)
 	}
-	refusal := domain.OutcomeUnknown(domain.ReasonLogUnavailable, "the log did not say whether it has the record")
-	refusal.Remedy = "repeat it with the same id: it is accepted at most once"
-	return "", refusal.After(logPatience)
+	refusal := domain.OutcomeUnknown(domain.ReasonLogUnavailable, "the log did not confirm whether it has the record")
+	refusal.Remedy = "repeat the call with the same id: it takes effect at most once"
+	return "", refusal.After(logTimeout)
 }
 
 // Keep implements planner.Publisher.
 func (in *Instance) Keep(e planner.Emission) {
 	record, err := state.NewRecord(e.ID, e.Kind, e.Payload)
 	if err != nil {
-		in.log.WithError(err).Error("a planner's record could not be encoded")
+		in.log.WithError(err).Error("cannot encode a record of the planner")
 		return
 	}
 	stream := state.JobStream(in.Settings.DataCentre)
 	done, err := in.journal.Keep(stream, record)
 	if err != nil {
-		return // the instance ends; the next planner finds out from the workers
+		return // the instance is stopping; the next planner asks the workers
 	}
 	go func() {
 		select {
 		case <-done:
 			return
-		case <-time.After(logPatience):
+		case <-time.After(logTimeout):
 		}
-		// Workers forget a gang once its job's end counts here. In one memory alone
-		// the end would be lost with this instance.
-		if copies, _ := in.spread(context.Background(), stream, record); copies >= minCopies {
+		// Workers drop a gang once its job's end is folded here. Without enough
+		// copies the end would be lost with this instance.
+		if copies, _ := in.replicate(context.Background(), stream, record); copies >= minCopies {
 			in.foldHeld(stream, record)
 		}
 	}()
@@ -282,7 +290,7 @@
 	if err != nil {
 		return false
 	}
-	recordCtx, cancel := context.WithTimeout(ctx, 2*logPatience)
+	recordCtx, cancel := context.WithTimeout(ctx, 2*logTimeout)
 	defer cancel()
 	offset, err := in.journal.Append(recordCtx, state.JobStream(in.Settings.DataCentre), record)
 	if err != nil {
@@ -290,7 +298,7 @@
 	}
 	for in.jobs.Offset() <= offset {
 		select {
-		case <-time.After(recordPoll):
+		case <-time.After(foldPollInterval):
 		case <-recordCtx.Done():
 			return false
 		}
@@ -298,18 +306,20 @@
 	return in.jobs.MayRun(*e.Await)
 }
 
-// recordPoll is the pause between two looks at how far the log has been read.
-const recordPoll = 5 * time.Millisecond
+// foldPollInterval is the interval at which a call polls whether its record has
+// been read back from the log and folded.
+const foldPollInterval = 5 * time.Millisecond
 
-// logAway tells whether the log can't be read at the moment.
-func (in *Instance) logAway() bool {
+// logUnreachable reports whether the log has not been read successfully for more
+// than logUnreachableAfter, or never.
+func (in *Instance) logUnreachable() bool {
 	age := in.followers[state.JobStream(in.Settings.DataCentre)].SinceLastRead()
-	return age < 0 || age > logAwayAfter
+	return age < 0 || age > logUnreachableAfter
 }
 
-// hasReadAll tells whether a job that is not known here is not in the log
-// either.
-func (in *Instance) hasReadAll() bool { return in.recovered.Load() && !in.logAway() }
+// hasReadAllJobs reports whether a job that is unknown to this instance is not in
+// the log either.
+func (in *Instance) hasReadAllJobs() bool { return in.recovered.Load() && !in.logUnreachable() }
 
 func (in *Instance) applyConfiguration(e port.Entry) {
 	if e.Record.Kind != configuration.KindChange {
@@ -318,81 +328,82 @@
 	before := in.configuration.Current().Version
 	in.configuration.FoldEntry(e)
 	if after := in.configuration.Current(); after.Version != before {
-		in.configured(after)
+		in.reportConfiguration(after)
 	}
 }
 
-func (in *Instance) configured(snapshot configuration.Snapshot) {
+func (in *Instance) reportConfiguration(snapshot configuration.Snapshot) {
 	in.Metrics.version.Set(float64(snapshot.Version))
 	in.log.WithFields(logrus.Fields{"version": snapshot.Version, "change": snapshot.LastChange}).Info("configuration in force")
 }
 
 func (in *Instance) applyJob(e port.Entry) {
 	if err := in.jobs.FoldEntry(e); err != nil {
-		in.log.WithError(err).Warn("a record was passed over")
+		in.log.WithError(err).Warn("skipped an unreadable record")
 	}
-	in.held.seen(e.Record.ID)
+	in.held.remove(e.Record.ID)
 }
 
 func (in *Instance) applyAttempt(e port.Entry) {
 	if err := in.ledger.FoldEntry(e); err != nil {
-		in.log.WithError(err).Warn("a record was passed over")
+		in.log.WithError(err).Warn("skipped an unreadable record")
 	}
 }
 
-// recoverThenFollow loads the state from peers and follows the log from there.
-// Callers are served meanwhile; the planner's role waits.
-func (in *Instance) recoverThenFollow(ctx context.Context) {
+// recoverState follows the log and loads the state from peers. Callers are served
+// meanwhile, but the instance does not plan before it has recovered.
+func (in *Instance) recoverState(ctx context.Context) {
 	for _, f := range in.followers {
 		in.spawn(ctx, f.Run)
 	}
-	in.list(ctx)
-	in.awaitLog(ctx, in.recoverFromPeers(ctx))
+	in.refreshInventory(ctx)
+	in.waitForLog(ctx, in.recoverFromPeers(ctx))
 	in.recovered.Store(ctx.Err() == nil)
 }
 
-// recoveryPatience bounds the wait for a log that is away before an instance
-// takes part with what it has from peers.
-const recoveryPatience = 5 * time.Second
-
-// awaitLog waits until the jobs and the configuration have been read to their
-// end. A part of them shows jobs as waiting whose end stands further on, and
-// jobs of classes that are declared further on. Without the log an instance
-// takes part with the state and the configuration that a peer has told which has
-// recovered, or with no jobs.
-func (in *Instance) awaitLog(ctx context.Context, told *configuration.Snapshot) {
-	end := time.Now().Add(recoveryPatience)
+// recoveryTimeout bounds the wait for an unreachable log, after which an instance
+// can start with the state from its peers.
+const recoveryTimeout = 5 * time.Second
+
+// waitForLog waits until the streams of the jobs and of the configuration have
+// been read to their end. Before that, a job may seem to wait although a later
+// record ends it, or have a class that a later record declares. If the log stays
+// unreachable, the instance starts with the state and configuration of a peer
+// that has recovered, or without any jobs.
+func (in *Instance) waitForLog(ctx context.Context, fromPeer *configuration.Snapshot) {
+	end := time.Now().Add(recoveryTimeout)
 	jobs := in.followers[state.JobStream(in.Settings.DataCentre)]
 	declared := in.followers[state.ConfigurationStream]
 	for ctx.Err() == nil && !(jobs.CaughtUp() && declared.CaughtUp()) {
-		whole := told != nil || in.jobs.Offset() == 0 && declared.CaughtUp()
-		if whole && in.logAway() && time.Now().After(end) {
-			in.adoptConfiguration(told)
+		complete := fromPeer != nil || in.jobs.Offset() == 0 && declared.CaughtUp()
+		if complete && in.logUnreachable() && time.Now().After(end) {
+			in.adoptConfiguration(fromPeer)
 			return
 		}
 		sleep(ctx, 10*time.Millisecond)
 	}
 }
 
-// adoptConfiguration takes a peer's configuration if it is newer; nil is none.
-func (in *Instance) adoptConfiguration(told *configuration.Snapshot) {
-	if told != nil && in.configuration.Adopt(*told) {
-		in.configured(*told)
+// adoptConfiguration adopts a peer's configuration, which may be nil, if it is
+// newer.
+func (in *Instance) adoptConfiguration(fromPeer *configuration.Snapshot) {
+	if fromPeer != nil && in.configuration.Adopt(*fromPeer) {
+		in.reportConfiguration(*fromPeer)
 	}
 }
 
-// recoverFromPeers takes the newest image that a peer of the data centre has,
-// and what any of them holds for the log: a peer that has just started may know
-// less than others. It returns the newest configuration of those that have
-// recovered themselves, nil if there is none. With the log it is read there, so
-// that the outcome of each change is known.
-func (in *Instance) recoverFromPeers(ctx context.Context) (told *configuration.Snapshot) {
+// recoverFromPeers loads the newest image among the data centre's peers, and the
+// held records of all of them, because a peer that has just started may have
+// fewer than others. It returns the newest configuration among the peers that
+// have recovered, or nil. The caller adopts it only if the log is unreachable:
+// reading the log also gives the outcome of each change.
+func (in *Instance) recoverFromPeers(ctx context.Context) (newest *configuration.Snapshot) {
 	var images []state.Image
-	for _, answer := range in.askForState(ctx) {
-		if answer.Recovered && (told == nil || answer.Configuration.Version > told.Version) {
-			told = &answer.Configuration
+	for _, answer := range in.fetchPeerStates(ctx) {
+		if answer.Recovered && (newest == nil || answer.Configuration.Version > newest.Version) {
+			newest = &answer.Configuration
 		}
-		in.draining.take(answer.Orders)
+		in.orders.merge(answer.Orders)
 		for _, h := range answer.Held {
 			in.held.add(h.Stream, h.Record, false)
 		}
@@ -405,27 +416,28 @@
 	for _, h := range in.held.all() {
 		in.foldHeld(h.Stream, h.Record)
 	}
-	in.log.WithFields(logrus.Fields{"answers": len(images), "loaded": loaded, "held": in.held.count()}).Info("peers asked for the state")
-	return told
+	in.log.WithFields(logrus.Fields{"answers": len(images), "loaded": loaded, "held": in.held.count()}).Info("state fetched from peers")
+	return newest
 }
 
-// askForState asks all peers of the data centre at once.
-func (in *Instance) askForState(ctx context.Context) []recovered {
+// fetchPeerStates fetches the state of all live peers of the data centre
+// concurrently.
+func (in *Instance) fetchPeerStates(ctx context.Context) []peerState {
 	callCtx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var out []recovered
-	for _, m := range in.members.present(in.Settings.DataCentre) {
+	var out []peerState
+	for _, m := range in.members.live(in.Settings.DataCentre) {
 		if m.ID == in.ID {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			var answer recovered
+			var answer peerState
 			if err := in.peers.Call(callCtx, m.Address, methodImage, nil, &answer); err != nil {
-				return // the others and the log have it
+				return // other peers and the log have the state too
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -436,8 +448,9 @@
 	return out
 }
 
-// loadImage takes an image that is newer than what is known here. Held records
-// are in no image of the log and may be missing in a peer's.
+// loadImage loads an image if it is newer than the state of this instance, and
+// folds the held records on top: they are not in the log, and may be missing in
+// a peer's image.
 func (in *Instance) loadImage(image state.Image) bool {
-	return in.jobs.Load(image, in.held.of(state.JobStream(in.Settings.DataCentre))...)
+	return in.jobs.Load(image, in.held.forStream(state.JobStream(in.Settings.DataCentre))...)
 }
--- a/instance/incomplete_test.go
+++ b/instance/recovery_test.go
@@ -23,29 +23,29 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// failingReads is a way to the platform on which the reads of one stream fail.
+// failingReads is a client of the platform whose first reads of one stream fail.
 type failingReads struct {
 	instance.Platform
 	stream port.Stream
-	// left is how many reads still fail.
-	left atomic.Int64
+	// remaining is the number of reads that will still fail.
+	remaining atomic.Int64
 }
 
-func (s *site) failingReads(dc domain.DataCentre, stream port.Stream, reads int64) *failingReads {
+func (s *deployment) failingReads(dc domain.DataCentre, stream port.Stream, reads int64) *failingReads {
 	p := &failingReads{Platform: client.New(s.platform.Address, s.platform.Address, dc), stream: stream}
-	p.left.Store(reads)
+	p.remaining.Store(reads)
 	return p
 }
 
 func (p *failingReads) Read(ctx context.Context, stream port.Stream, from int64) (port.Page, error) {
-	if stream == p.stream && p.left.Add(-1) >= 0 {
+	if stream == p.stream && p.remaining.Add(-1) >= 0 {
 		return port.Page{}, errors.New("connection reset")
 	}
 	return p.Platform.Read(ctx, stream, from)
 }
 
-// slowReads is a way to the platform on which the reads of one stream bring one
-// entry at a time.
+// slowReads is a client of the platform whose reads of one stream return one entry
+// at a time.
 type slowReads struct {
 	instance.Platform
 	stream port.Stream
@@ -63,8 +63,8 @@
 	return page, nil
 }
 
-// starts counts how often workers have begun a gang's run.
-func (s *site) starts(id domain.JobID) int {
+// startCount returns how often workers have started a run of the job.
+func (s *deployment) startCount(id domain.JobID) int {
 	n := 0
 	for _, w := range s.platform.Workers() {
 		for _, run := range w.Starts() {
@@ -76,8 +76,8 @@
 	return n
 }
 
-// members counts the gangs' members that workers hold or remember.
-func (s *site) members() int {
+// memberCount returns the number of gang members that workers run or still report.
+func (s *deployment) memberCount() int {
 	n := 0
 	for _, w := range s.platform.Workers() {
 		n += len(w.Members())
@@ -85,10 +85,11 @@
 	return n
 }
 
-// A planner that has read a job's acceptance and not its end yet does not begin it again.
-func TestAPlannerThatReadsSlowlyStartsNothingThatHasEnded(t *testing.T) {
+// Guards against restarting an ended job: a new planner may have read the job's
+// acceptance from the log but not its end yet.
+func TestPlannerBehindOnTheLogDoesNotRestartEndedJobs(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a := s.start("north")
 	s.configure()
 	a.call(t, "POST", "/v1/jobs", "shop", "", gangBody("first", 1, time.Second))
@@ -99,7 +100,7 @@
 	for _, id := range []string{"first", "beside5"} {
 		a.wait(t, id, "shop")
 	}
-	eventually(t, "the workers have forgotten what has ended", func() bool { return s.members() == 0 })
+	eventually(t, "the workers have forgotten what has ended", func() bool { return s.memberCount() == 0 })
 	a.Kill()
 	jobs := &slowReads{
 		Platform: client.New(s.platform.Address, s.platform.Address, "north"),
@@ -108,23 +109,24 @@
 	b := s.startWith("north", instance.Options{Platform: jobs})
 	eventually(t, "the new instance has the configuration", func() bool { return b.ConfigurationVersion() == 1 })
 	if status := b.wait(t, "first", "shop"); status.State != domain.JobCompleted {
-		t.Errorf("first is %s", status.State)
+		t.Errorf("job first is %s", status.State)
 	}
-	if n := s.starts("first"); n != 1 {
-		t.Errorf("it was started %d times", n)
+	if n := s.startCount("first"); n != 1 {
+		t.Errorf("job first was started %d times, want 1", n)
 	}
 }
 
-// A planner that does not know the classes yet gives up no job that may run again.
-func TestAPlannerWithoutConfigurationEndsNoJob(t *testing.T) {
+// Guards against ending a job that may run again, because the planner has not read
+// the classes yet.
+func TestPlannerWithoutConfigurationEndsNoJob(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	brief := planner.DefaultOptions()
 	brief.Timing.Lease, brief.Authority, brief.Poll = 2*time.Second, time.Second, 500*time.Millisecond
 	a := s.startWith("north", instance.Options{Planner: &brief})
 	s.configure()
 	a.call(t, "POST", "/v1/jobs", "shop", "", gangBody("lost", 1, 3*time.Second))
-	eventually(t, "the gang runs", func() bool { return s.starts("lost") == 1 })
+	eventually(t, "the gang runs", func() bool { return s.startCount("lost") == 1 })
 	a.Kill()
 	time.Sleep(brief.Timing.Lease + time.Second)
 	configuration := s.failingReads("north", state.ConfigurationStream, 6)
@@ -135,10 +137,11 @@
 	}
 }
 
-// Records that the log has dropped are in a snapshot; a read of it that fails does not mean that there were none.
-func TestAJobIsKnownWhereTheFirstReadOfItsSnapshotFailed(t *testing.T) {
+// Guards against losing jobs whose records are only in a snapshot: a failed read of
+// the snapshot must not be taken for its absence.
+func TestJobIsKnownAfterFailedSnapshotReads(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a := s.start("north")
 	s.configure()
 	a.call(t, "POST", "/v1/jobs", "shop", "", gangBody("early", 1, time.Millisecond))
@@ -154,15 +157,16 @@
 	b := s.startWith("north", instance.Options{Platform: snapshots})
 	for _, id := range []string{"late", "early"} {
 		if status := b.wait(t, id, "shop"); status.State != domain.JobCompleted {
-			t.Errorf("%s is %s", id, status.State)
+			t.Errorf("job %s is %s", id, status.State)
 		}
 	}
 }
 
-// An accepted job outlives the replacement of its holders although a newcomer reaches a peer first that holds no copy.
-func TestANewcomerTakesCopiesFromEachPeerThatHoldsSome(t *testing.T) {
+// Guards against losing an accepted job when the instances with copies of its
+// record are replaced: a new instance may first reach a peer without a copy.
+func TestNewInstanceCopiesHeldRecordsFromAllPeers(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a, b, c := s.start("north"), s.start("north"), s.start("north")
 	s.configure()
 	a.call(t, "POST", "/v1/jobs", "shop", "", gangBody("early", 1, time.Millisecond))
@@ -182,13 +186,14 @@
 	b.Kill()
 	c.Kill()
 	s.platform.Log.SetFaults(standin.LogFaults{})
-	eventually(t, "both acceptances are in the log", func() bool { return s.accepted() == 2 })
+	eventually(t, "both acceptances are in the log", func() bool { return s.acceptedCount() == 2 })
 }
 
-// An instance that has not read all jobs does not say of one that there is none.
-func TestAJobIsNotFoundOnlyWhereAllHaveBeenRead(t *testing.T) {
+// Guards against a not-found answer for an existing job by an instance that has not
+// read all jobs.
+func TestNotFoundOnlyAfterAllJobsAreRead(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a := s.start("north")
 	s.configure()
 	a.call(t, "POST", "/v1/jobs", "shop", "", gangBody("there", 1, time.Millisecond))
@@ -209,10 +214,11 @@
 	})
 }
 
-// A worker that is being emptied, and a data centre that is evacuated, stay so for an instance that starts later.
-func TestOrdersOfOperatorsReachAnInstanceThatStartsLater(t *testing.T) {
+// Guards against an evacuation that is lost when all instances that received the
+// order are replaced: an instance that starts later gets it from its peers.
+func TestOperatorOrdersReachInstancesThatStartLater(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a := s.start("north")
 	s.configure()
 	ctx := context.Background()
@@ -228,15 +234,16 @@
 	a.Kill()
 	b.call(t, "POST", "/v1/jobs", "shop", "", gangBody("waits", 2, time.Millisecond))
 	time.Sleep(2 * time.Second)
-	if s.started("waits") {
-		t.Error("a gang began in the evacuated data centre")
+	if s.hasStarted("waits") {
+		t.Error("a gang was started in the evacuated data centre")
 	}
 }
 
-// A gang's result stays with its workers while its end is in the memory of one instance alone.
-func TestAnEndThatOnlyOneInstanceHoldsIsNotForgotten(t *testing.T) {
+// Guards against losing a job's result: workers must keep it while the record of
+// the job's end is in the memory of one instance only.
+func TestGangResultIsKeptWhileItsEndIsOnOneInstanceOnly(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a := s.start("north")
 	s.configure()
 	a.call(t, "POST", "/v1/jobs", "shop", "", gangBody("ends", 2, 2*time.Second))
@@ -252,19 +259,20 @@
 	if status := b.wait(t, "ends", "shop"); status.State != domain.JobCompleted {
 		t.Errorf("the job is %s (%s)", status.State, status.Cause)
 	}
-	if n := s.starts("ends"); n != 2 {
-		t.Errorf("its two members were started %d times", n)
+	if n := s.startCount("ends"); n != 2 {
+		t.Errorf("the two members were started %d times, want 2", n)
 	}
 }
 
-// An instance that has not read the jobs does not take a class for unused.
-func TestAClassIsNotRemovedWhereItsJobsHaveNotBeenRead(t *testing.T) {
+// Guards against the removal of a class that is in use, by an instance that has not
+// read the jobs.
+func TestClassIsNotRemovedBeforeItsJobsAreRead(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	a := s.start("north")
 	s.configure()
 	a.call(t, "POST", "/v1/jobs", "shop", "", gangBody("runs", 1, time.Minute))
-	eventually(t, "the gang runs", func() bool { return s.starts("runs") == 1 })
+	eventually(t, "the gang runs", func() bool { return s.startCount("runs") == 1 })
 	jobs := s.failingReads("north", state.JobStream("north"), 6)
 	a.Kill()
 	b := s.startWith("north", instance.Options{Platform: jobs})
@@ -276,14 +284,16 @@
 		t.Fatal(err)
 	}
 	if version, refusal := b.Apply(context.Background(), string(raw), 1, "second", "test"); refusal == nil {
-		t.Errorf("the class is removed by version %d, and a job of it runs", version)
+		t.Errorf("version %d removes the class while a job of it is running", version)
 	}
 }
 
-// An instance that peers have told the configuration still learns from the log what became of a change.
-func TestAChangeIsKnownAtAnInstanceThatStartsLater(t *testing.T) {
+// Guards against a repeated change that an instance refuses because it has the
+// configuration from a peer instead of the log, and so lacks the outcomes of
+// changes.
+func TestChangeOutcomeIsKnownToInstancesThatStartLater(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, "north")
+	s := newDeployment(t, "north")
 	s.start("north")
 	s.configure()
 	declared := s.failingReads("north", state.ConfigurationStream, 4)
@@ -294,6 +304,6 @@
 		t.Fatal(err)
 	}
 	if version, refusal := late.Apply(context.Background(), string(raw), 0, "first", "test"); refusal != nil || version != 1 {
-		t.Errorf("the change that made version 1 again: version %d, %v", version, refusal)
+		t.Errorf("repeat of the change that made version 1: version %d, %v", version, refusal)
 	}
 }
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -8,7 +8,8 @@
 	"github.com/cobalttide/cobalttide/requests/dispatch"
 )
 
-// Request sends a call through the request pipeline. Close the answer's body.
+// Request sends a call through the request pipeline. The caller must close the
+// answer's body.
 func (in *Instance) Request(ctx context.Context, call *dispatch.Call) (*dispatch.Answer, error) {
 	response, err := in.requests(ctx, call)
 	if err != nil {
@@ -17,28 +18,28 @@
 	return response.(*dispatch.Answer), nil
 }
 
-// balanceEvery is the interval at which the gate follows the fleet.
-const balanceEvery = 500 * time.Millisecond
+// gateUpdateInterval is the interval at which the gate's limit is updated.
+const gateUpdateInterval = 500 * time.Millisecond
 
-// gatePerSlot is how many requests an instance lets through for each slot of
-// its share: one in work, and enough on the way to keep the slot busy.
-const gatePerSlot = 1.5
+// requestsPerSlot is how many requests an instance admits for each slot of its
+// share: one being processed, and enough in transit to keep the slot busy.
+const requestsPerSlot = 1.5
 
-// balanceLoop keeps the gate at this instance's share of the data centre's
-// slots: instances don't talk about single requests, so each assumes that the
-// balancer spreads them evenly.
-func (in *Instance) balanceLoop(ctx context.Context) {
+// gateLoop sets the gate's limit to this instance's share of the data centre's
+// slots. Instances do not coordinate single requests, so each assumes that the
+// load balancer spreads them evenly.
+func (in *Instance) gateLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		instances := max(1, len(in.members.present(in.Settings.DataCentre)))
-		slots := in.table.Slots()
+		instances := max(1, len(in.members.live(in.Settings.DataCentre)))
+		slots := in.routingTable.Slots()
 		if slots > 0 {
-			in.gate.SetLimit(int(gatePerSlot*float64(slots)/float64(instances)), time.Now())
+			in.gate.SetLimit(int(requestsPerSlot*float64(slots)/float64(instances)), time.Now())
 		}
-		sleep(ctx, balanceEvery)
+		sleep(ctx, gateUpdateInterval)
 	}
 }
 
-// observeAnswer counts a whole answer.
+// observeAnswer records a complete answer in the metrics.
 func (in *Instance) observeAnswer(class domain.ClassName, expectation, took time.Duration) {
 	inTime := "yes"
 	if took > expectation {
--- a/instance/settings/settings.go
+++ b/instance/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings file of one instance: JSON with comments,
-// checked as a whole. Every mistake is reported in one run, with its line, its
-// field, and the remedy.
+// Package settings reads and validates the settings file of one instance, which is
+// JSON with comments. All mistakes are reported in one run, each with its line,
+// its field and a remedy.
 package settings
 
 import (
@@ -16,40 +16,41 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Settings are one instance's.
+// Settings are the settings of one instance.
 type Settings struct {
-	// Instance names this run of the instance; a restarted one takes a new name
-	// by itself: a random suffix is added.
+	// Instance is the name of the instance. Each run adds a random suffix to it, so
+	// that a restarted instance has a new id.
 	Instance domain.InstanceID `json:"instance"`
-	// DataCentre is where the instance runs.
+	// DataCentre is the data centre that the instance runs in.
 	DataCentre domain.DataCentre `json:"data_centre"`
 	Listen     Listen            `json:"listen"`
 	Platform   Platform          `json:"platform"`
-	// PeerSecretFile holds the secret that all instances share.
+	// PeerSecretFile is the file with the secret that all instances share.
 	PeerSecretFile string `json:"peer_secret_file"`
-	// BootstrapOperatorTokenHash is the hex SHA-256 of an operator's token that
-	// is good before the first declarations name any.
+	// BootstrapOperatorTokenHash is the hex SHA-256 of an operator's token that is
+	// valid even before the first declarations name any.
 	BootstrapOperatorTokenHash string `json:"bootstrap_operator_token_hash"`
 	Limits                     Limits `json:"limits"`
 	// LogLevel is one of debug, info, warning and error.
 	LogLevel string `json:"log_level"`
 }
 
-// Listen are the addresses, IP and port, on which the instance is reached.
+// Listen holds the addresses, IP and port, that the instance listens on.
 type Listen struct {
-	// Callers serves callers, operators, metrics and health.
+	// Callers is the address for callers, operators, metrics and health.
 	Callers string `json:"callers"`
-	// Peers serves other instances.
+	// Peers is the address for other instances.
 	Peers string `json:"peers"`
 }
 
-// Platform are the addresses, IP and port, of the platform's services.
+// Platform holds the addresses, IP and port, of the platform's services.
 type Platform struct {
 	Log  string `json:"log"`
 	List string `json:"list"`
 }
 
-// Limits bound what one caller can ask of the instance.
+// Limits holds the limits on callers' requests and connections, and the times for
+// draining.
 type Limits struct {
 	// BodyBytes bounds a request's body.
 	BodyBytes int64 `json:"body_bytes"`
@@ -59,16 +60,17 @@
 	HeaderTimeout domain.Duration `json:"header_timeout"`
 	// RequestTimeout bounds any deadline that a caller asks for.
 	RequestTimeout domain.Duration `json:"request_timeout"`
-	// Connections bounds callers' connections.
+	// Connections bounds the number of open connections of callers.
 	Connections int `json:"connections"`
-	// DrainGrace is how long a leaving instance still takes new requests, so
-	// that the balancer can notice.
+	// DrainGrace is how long a leaving instance still accepts new requests, so that
+	// the load balancer can notice.
 	DrainGrace domain.Duration `json:"drain_grace"`
-	// DrainTimeout bounds the time that it waits for the requests it holds.
+	// DrainTimeout bounds the time that a leaving instance waits for the requests
+	// in flight.
 	DrainTimeout domain.Duration `json:"drain_timeout"`
 }
 
-// Default returns the settings that a file starts from.
+// Default returns the default settings, which a settings file overrides.
 func Default() Settings {
 	return Settings{
 		Limits: Limits{
@@ -80,7 +82,7 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -89,7 +91,8 @@
 	return Parse(file, raw)
 }
 
-// Parse reads and checks the text of a settings file.
+// Parse decodes and validates the text of a settings file; file is its name in
+// problems.
 func Parse(file string, raw []byte) (Settings, error) {
 	s := Default()
 	var problems configuration.Problems
@@ -120,7 +123,8 @@
 	})
 }
 
-// line finds the line of a field, or of the closest enclosing one.
+// line returns the line of a field, or of the closest enclosing one that is in the
+// file.
 func (c *checker) line(field string) int {
 	value, err := hujson.Parse(c.raw)
 	if err != nil {
--- a/instance/settings/settings_test.go
+++ b/instance/settings/settings_test.go
@@ -12,7 +12,8 @@
 	"github.com/cobalttide/cobalttide/configuration"
 )
 
-// Three mistakes in one file are three lines, each with its place and remedy.
+// Guards against reports that stop at the first mistake: each of three mistakes in
+// one file is reported, with its place and remedy.
 func TestEveryMistakeIsReportedInOneRun(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "three-mistakes.json"))
 	if err != nil {
@@ -20,7 +21,7 @@
 	}
 	_, err = Parse("three-mistakes.json", raw)
 	if err == nil {
-		t.Fatal("accepted")
+		t.Fatal("a settings file with three mistakes is accepted")
 	}
 	goldie.New(t).Assert(t, "three-mistakes", []byte(err.Error()+"\n"))
 }
@@ -33,10 +34,10 @@
 	}
 }
 
-func TestCommittedSettingsAreGood(t *testing.T) {
+func TestCommittedSettingsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../deployments/*/settings/*.json")
 	if err != nil || len(files) != 12 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("%d settings files, want 12: %v", len(files), err)
 	}
 	for _, file := range files {
 		if _, err := Load(file); err != nil {
@@ -45,7 +46,8 @@
 	}
 }
 
-// Whatever the text, it is settings or a list of problems that name remedies.
+// Guards against errors that don't help: any text parses as settings or gives a
+// list of problems with remedies and valid lines.
 func FuzzSettings(f *testing.F) {
 	f.Add(`{"instance": "i", "listen": {"callers": "127.0.0.1:1"}, /* c */ "limits": {"body_bytes": 1},}`)
 	f.Add(`{"listen": 3}`)
@@ -58,7 +60,7 @@
 		}
 		for _, p := range problems {
 			if p.Remedy == "" || p.Line < 0 || p.Line > 1+strings.Count(text, "\n") {
-				t.Fatalf("unhelpful: %+v", p)
+				t.Fatalf("a problem without a remedy or with an invalid line: %+v", p)
 			}
 		}
 	})
