--- a/requests/attempt/keeper_test.go
+++ b/requests/attempt/keeper_test.go
@@ -7,11 +7,12 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// An id that the ledger has forgotten while its first attempt was waited for may have run.
+// Guards against outcome NotRun for an id that the ledger evicted while a repeat
+// waited for its first attempt, which may have run.
 func TestAForgottenAttemptIsNotToldAsNotRun(t *testing.T) {
 	k := &Keeper{Instance: "i", Ledger: NewLedger(), Options: DefaultOptions()}
-	_, err := k.await(context.Background(), Key{Account: "a", ID: "x"}, "d")
+	_, err := k.awaitAnswer(context.Background(), Key{Account: "a", ID: "x"}, "d")
 	if refusal := domain.AsRefusal(err); refusal.Outcome != domain.Unknown {
-		t.Errorf("told %s (%s)", refusal.Outcome, refusal.Reason)
+		t.Errorf("outcome %s (reason %s), want unknown", refusal.Outcome, refusal.Reason)
 	}
 }
--- a/requests/attempt/ledger.go
+++ b/requests/attempt/ledger.go
@@ -1,7 +1,7 @@
-// Package attempt keeps the promise that a request which is not idempotent runs
-// at most once. Every attempt is recorded in the log before it is dispatched;
-// the log's order says which of several attempts at one id was first, and only
-// that one is ever dispatched. No lease is involved, so nothing can lapse.
+// Package attempt ensures that a request which is not idempotent runs at most
+// once. Every attempt is recorded in the log before it is dispatched; only the
+// attempt at an id that comes first in the log is ever dispatched. No lease is
+// involved, so none can expire.
 package attempt
 
 import (
@@ -12,28 +12,28 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// The record kinds of the attempt stream.
+// Record kinds of the attempt stream.
 const (
 	KindAttempt   = "attempt"
 	KindAbandoned = "attempt-abandoned"
 	KindAnswered  = "attempt-answered"
 )
 
-// Key identifies a request: the ids of one account don't meet another's.
+// Key identifies a request; ids are scoped to an account.
 type Key struct {
 	Account domain.AccountID `json:"account"`
 	ID      string           `json:"id"`
 }
 
-// Attempt is recorded before a dispatch. The record's id names it.
+// Attempt is recorded before a dispatch. The record's id is the attempt's id.
 type Attempt struct {
 	Key    Key    `json:"key"`
 	Digest string `json:"digest"`
-	// Instance is who will dispatch.
+	// Instance is the instance that will dispatch the attempt.
 	Instance domain.InstanceID `json:"instance"`
 }
 
-// Abandoned says that an attempt was not and will not be dispatched.
+// Abandoned records that an attempt was not and will not be dispatched.
 type Abandoned struct {
 	Key     Key    `json:"key"`
 	Attempt string `json:"attempt"`
@@ -44,9 +44,9 @@
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Unknown is set when the dispatch ended without a whole answer.
+	// Unknown is set when the dispatch ended without a complete answer.
 	Unknown bool `json:"unknown,omitempty"`
-	// Dropped is set when the body was too large to keep.
+	// Dropped is set when the body was too large to store, or was evicted.
 	Dropped bool `json:"dropped,omitempty"`
 }
 
@@ -57,10 +57,11 @@
 	Answer  Answer `json:"answer"`
 }
 
-// Status is what the log says of a request.
+// Status is the state of a request according to the log.
 type Status struct {
 	Digest string
-	// Winner is the attempt that may be dispatched, Instance its holder.
+	// Winner is the attempt that may be dispatched, and Instance the instance
+	// that dispatches it.
 	Winner   string
 	Instance domain.InstanceID
 	Answer   *Answer
@@ -72,55 +73,56 @@
 	waiters   []chan struct{}
 }
 
-// Bounds of what a ledger remembers. Beyond them the oldest ids are forgotten;
-// docs/design/at-most-once.md gives the time that this lasts.
+// Limits on the size of a ledger. Beyond them the oldest ids are evicted;
+// docs/design/at-most-once.md gives the resulting retention time.
 const (
 	maxEntries     = 50_000
 	maxAnswerBytes = 8 << 20
 )
 
-// Ledger is the fold of the attempt stream. Safe for concurrent use.
+// Ledger is the state derived from the attempt stream. It is safe for concurrent
+// use.
 type Ledger struct {
-	mu      sync.Mutex
-	entries map[Key]*entry
-	order   []Key
-	bytes   int
-	offset  int64
-	moved   chan struct{}
+	mu          sync.Mutex
+	entries     map[Key]*entry
+	order       []Key
+	answerBytes int
+	nextOffset  int64
+	advanced    chan struct{}
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{entries: map[Key]*entry{}, moved: make(chan struct{})}
+	return &Ledger{entries: map[Key]*entry{}, advanced: make(chan struct{})}
 }
 
 // Offset returns the offset to read from next.
 func (l *Ledger) Offset() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.offset
+	return l.nextOffset
 }
 
-// Passed returns a channel that is closed at the ledger's next step, and
-// whether the entry at an offset has been folded.
-func (l *Ledger) Passed(offset int64) (bool, <-chan struct{}) {
+// Applied reports whether the entry at an offset has been applied, and returns a
+// channel that is closed when the next entry is applied.
+func (l *Ledger) Applied(offset int64) (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.offset > offset, l.moved
+	return l.nextOffset > offset, l.advanced
 }
 
-// FoldEntry folds one entry. Entries that can't be read are passed over by
-// every instance alike.
+// FoldEntry applies one entry. Every instance skips entries that cannot be
+// decoded, so that all ledgers agree.
 func (l *Ledger) FoldEntry(e port.Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e.Offset < l.offset {
+	if e.Offset < l.nextOffset {
 		return nil
 	}
 	err := l.fold(e.Record)
-	l.offset = e.Offset + 1
-	close(l.moved)
-	l.moved = make(chan struct{})
+	l.nextOffset = e.Offset + 1
+	close(l.advanced)
+	l.advanced = make(chan struct{})
 	return err
 }
 
@@ -131,19 +133,19 @@
 		if err := json.Unmarshal(record.Data, &a); err != nil {
 			return err
 		}
-		l.attempted(record.ID, a)
+		l.applyAttempt(record.ID, a)
 	case KindAbandoned:
 		var a Abandoned
 		if err := json.Unmarshal(record.Data, &a); err != nil {
 			return err
 		}
-		l.abandoned(a)
+		l.applyAbandoned(a)
 	case KindAnswered:
 		var a Answered
 		if err := json.Unmarshal(record.Data, &a); err != nil {
 			return err
 		}
-		l.answered(a)
+		l.applyAnswered(a)
 	}
 	return nil
 }
@@ -154,31 +156,31 @@
 		e = &entry{abandoned: map[string]bool{}}
 		l.entries[key] = e
 		l.order = append(l.order, key)
-		l.expire()
+		l.evict()
 	}
 	return e
 }
 
-func (l *Ledger) expire() {
+func (l *Ledger) evict() {
 	for len(l.order) > maxEntries {
 		oldest := l.order[0]
 		l.order = l.order[1:]
 		if e := l.entries[oldest]; e.Answer != nil {
-			l.bytes -= len(e.Answer.Body)
+			l.answerBytes -= len(e.Answer.Body)
 		}
 		delete(l.entries, oldest)
 	}
-	for i := 0; l.bytes > maxAnswerBytes && i < len(l.order); i++ {
+	for i := 0; l.answerBytes > maxAnswerBytes && i < len(l.order); i++ {
 		if e := l.entries[l.order[i]]; e.Answer != nil && len(e.Answer.Body) > 0 {
-			l.bytes -= len(e.Answer.Body)
+			l.answerBytes -= len(e.Answer.Body)
 			e.Answer = &Answer{Status: e.Answer.Status, Dropped: true}
 		}
 	}
 }
 
-// attempted makes the attempt the winner when no other is. An attempt whose
+// applyAttempt makes the attempt the winner if there is none. An attempt whose
 // abandonment was read first never wins.
-func (l *Ledger) attempted(id string, a Attempt) {
+func (l *Ledger) applyAttempt(id string, a Attempt) {
 	e := l.entry(a.Key)
 	if e.Winner != "" || e.abandoned[id] {
 		return
@@ -186,39 +188,39 @@
 	e.Winner = id
 	e.Digest = a.Digest
 	e.Instance = a.Instance
-	e.wake()
+	e.notifyWaiters()
 }
 
-func (l *Ledger) abandoned(a Abandoned) {
+func (l *Ledger) applyAbandoned(a Abandoned) {
 	e := l.entry(a.Key)
 	e.abandoned[a.Attempt] = true
 	if e.Winner == a.Attempt && e.Answer == nil {
 		e.Winner = ""
 		e.Instance = ""
-		e.wake()
+		e.notifyWaiters()
 	}
 }
 
-func (l *Ledger) answered(a Answered) {
+func (l *Ledger) applyAnswered(a Answered) {
 	e := l.entry(a.Key)
 	if e.Winner != a.Attempt || e.Answer != nil {
 		return
 	}
 	e.Answer = &a.Answer
-	l.bytes += len(a.Answer.Body)
-	l.expire()
-	e.wake()
+	l.answerBytes += len(a.Answer.Body)
+	l.evict()
+	e.notifyWaiters()
 }
 
-func (e *entry) wake() {
+func (e *entry) notifyWaiters() {
 	for _, ch := range e.waiters {
 		close(ch)
 	}
 	e.waiters = nil
 }
 
-// Status returns what is known of a request, and a channel that is closed at
-// its next change.
+// Status returns the status of a request, whether the ledger contains it, and a
+// channel that is closed at its next change.
 func (l *Ledger) Status(key Key) (Status, bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -231,10 +233,10 @@
 	return e.Status, true, ch
 }
 
-// Finish enters this instance's own answer ahead of the log, so that a repeat
-// here gets it even while the log is away.
-func (l *Ledger) Finish(a Answered) {
+// ApplyLocal applies this instance's own answer before it is read from the log,
+// so that a repeat at this instance receives it even while the log is unavailable.
+func (l *Ledger) ApplyLocal(a Answered) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answered(a)
+	l.applyAnswered(a)
 }
--- a/requests/dispatch/admit.go
+++ b/requests/dispatch/admit.go
@@ -11,14 +11,14 @@
 	"github.com/cobalttide/cobalttide/requests/limit"
 )
 
-// Admit bounds the requests at once and shares them between accounts. A place
-// is held until the answer's body is closed.
+// Admit bounds the number of concurrent requests and shares them between
+// accounts. A request counts until the body of its answer is closed.
 func Admit(gate *limit.Gate) endpoint.Middleware {
-	return filter(func(ctx context.Context, call *Call, next endpoint.Endpoint) (any, error) {
-		ticket := limit.Ticket{
+	return newFilter(func(ctx context.Context, call *Call, next endpoint.Endpoint) (any, error) {
+		request := limit.Request{
 			Account: call.Account, Weight: call.Weight, Priority: call.Class.Priority, Deadline: call.Deadline,
 		}
-		if err := gate.Enter(ctx, ticket, time.Now()); err != nil {
+		if err := gate.Enter(ctx, request, time.Now()); err != nil {
 			return nil, err
 		}
 		began := time.Now()
@@ -34,7 +34,7 @@
 	})
 }
 
-// closeNotifier calls notify once, when the body is closed.
+// closeNotifier calls notify exactly once, when the body is closed.
 type closeNotifier struct {
 	io.ReadCloser
 	once   sync.Once
--- a/requests/dispatch/deduplicate.go
+++ b/requests/dispatch/deduplicate.go
@@ -14,34 +14,33 @@
 	"github.com/cobalttide/cobalttide/requests/attempt"
 )
 
-// Deduplicate lets a request of a class that is not idempotent through at most
-// once, and gives repeats the first answer. It stands before every filter that
-// dispatches, and it turns an outcome into a refusal that is true: not-run only
-// when no attempt was dispatched.
+// Deduplicate passes on a request of a class that is not idempotent at most once,
+// and answers repeats with the first answer. It must precede every filter that
+// dispatches. A refusal reports not-run only when no attempt was dispatched.
 func Deduplicate(keeper *attempt.Keeper) endpoint.Middleware {
-	return filter(func(ctx context.Context, call *Call, next endpoint.Endpoint) (any, error) {
+	return newFilter(func(ctx context.Context, call *Call, next endpoint.Endpoint) (any, error) {
 		if call.Class.Idempotent {
 			return next(ctx, call)
 		}
 		key := attempt.Key{Account: call.Account, ID: call.ID}
-		begun, err := keeper.Begin(ctx, key, Digest(call))
+		result, err := keeper.Begin(ctx, key, Digest(call))
 		if err != nil {
 			return nil, err
 		}
-		if begun.Answer != nil {
-			return kept(begun.Answer), nil
+		if result.Answer != nil {
+			return storedAnswer(result.Answer), nil
 		}
 		response, err := next(ctx, call)
 		if err != nil {
-			return nil, conclude(keeper, key, begun.Attempt, err)
+			return nil, endFailedAttempt(keeper, key, result.Attempt, err)
 		}
 		answer := response.(*Answer)
-		answer.Body = &recorder{
-			ReadCloser: answer.Body, limit: keeper.Options.MaxKept,
-			done: func(body []byte, whole, dropped bool) {
-				keeper.Finish(key, begun.Attempt, attempt.Answer{
+		answer.Body = &recordingBody{
+			ReadCloser: answer.Body, limit: keeper.Options.MaxAnswerBytes,
+			onEnd: func(body []byte, complete, dropped bool) {
+				keeper.Finish(key, result.Attempt, attempt.Answer{
 					Status: answer.Status, ContentType: answer.ContentType,
-					Body: body, Unknown: !whole, Dropped: dropped,
+					Body: body, Unknown: !complete, Dropped: dropped,
 				})
 			},
 		}
@@ -49,7 +48,7 @@
 	})
 }
 
-// Digest identifies the request's body and class.
+// Digest returns a hash of the request's class and body.
 func Digest(call *Call) string {
 	h := sha256.New()
 	h.Write([]byte(call.ClassName))
@@ -58,16 +57,16 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func kept(a *attempt.Answer) *Answer {
+func storedAnswer(a *attempt.Answer) *Answer {
 	return &Answer{
 		Status: a.Status, ContentType: a.ContentType, Length: int64(len(a.Body)),
 		Body: io.NopCloser(bytes.NewReader(a.Body)), Repeat: true,
 	}
 }
 
-// conclude ends an attempt that brought no answer. One that certainly was not
-// run frees the id for a repeat.
-func conclude(keeper *attempt.Keeper, key attempt.Key, id string, err error) error {
+// endFailedAttempt ends an attempt without an answer and returns err. If the
+// request certainly did not run, the id becomes available for a repeat.
+func endFailedAttempt(keeper *attempt.Keeper, key attempt.Key, id string, err error) error {
 	var refusal *domain.Refusal
 	if errors.As(err, &refusal) && refusal.Outcome == domain.NotRun {
 		keeper.Abandon(key, id)
@@ -77,20 +76,20 @@
 	return err
 }
 
-// recorder copies a body on its way through, up to a limit, and reports once
-// whether it was whole.
-type recorder struct {
+// recordingBody copies up to limit bytes of a body while it is read, and reports
+// once, at its end, whether it was complete.
+type recordingBody struct {
 	io.ReadCloser
 	limit    int
 	body     []byte
 	overflow bool
-	whole    bool
+	complete bool
 	reported bool
-	done     func(body []byte, whole, dropped bool)
+	onEnd    func(body []byte, complete, dropped bool)
 }
 
 // Read implements io.Reader.
-func (r *recorder) Read(p []byte) (int, error) {
+func (r *recordingBody) Read(p []byte) (int, error) {
 	n, err := r.ReadCloser.Read(p)
 	if len(r.body)+n <= r.limit {
 		r.body = append(r.body, p[:n]...)
@@ -98,19 +97,19 @@
 		r.overflow = true
 	}
 	if errors.Is(err, io.EOF) {
-		r.whole = true
+		r.complete = true
 		r.report()
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (r *recorder) Close() error {
+func (r *recordingBody) Close() error {
 	r.report()
 	return r.ReadCloser.Close()
 }
 
-func (r *recorder) report() {
+func (r *recordingBody) report() {
 	if r.reported {
 		return
 	}
@@ -119,5 +118,5 @@
 	if r.overflow {
 		body = nil
 	}
-	r.done(body, r.whole, r.overflow)
+	r.onEnd(body, r.complete, r.overflow)
 }
--- a/requests/dispatch/once_test.go
+++ b/requests/dispatch/once_test.go
@@ -24,25 +24,25 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// A script is what happens in one world: callers that repeat their requests at
-// other instances, and faults. It is drawn first and then played in fake time
+// scenario lists the events of one simulation: callers that repeat their requests
+// at other instances, and faults. It is generated first and then run in fake time
 // with the real keeper, journal, ledger and follower of each instance.
-type script struct {
-	tries  []try
-	faults []logFault
-	kills  []time.Duration // by instance; 0 never
-	cuts   []logFault      // by instance: its own way to the log
+type scenario struct {
+	calls      []clientCall
+	faults     []logFault
+	killTimes  []time.Duration // by instance; 0 means never
+	partitions []logFault      // by instance: when it cannot reach the log
 }
 
-// try is one call of a caller.
-type try struct {
+// clientCall is one call by a caller.
+type clientCall struct {
 	at       time.Duration
 	instance int
 	id       int
-	patience time.Duration
-	// pause is between the right to dispatch and the dispatch.
-	pause   time.Duration
-	backend string
+	timeout  time.Duration
+	// pause is the delay between permission to dispatch and the dispatch.
+	pause            time.Duration
+	backendBehaviour string
 }
 
 type logFault struct {
@@ -52,19 +52,19 @@
 
 const instances = 3
 
-var backendFates = []string{"answers", "answers", "runs and drops the answer", "refuses"}
+var backendBehaviours = []string{"answers", "answers", "runs and drops the answer", "refuses"}
 
-func drawScript(t *rapid.T) script {
+func drawScenario(t *rapid.T) scenario {
 	ms := func(name string, most int) time.Duration {
 		return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 	}
-	var s script
+	var s scenario
 	for range rapid.IntRange(2, 10).Draw(t, "tries") {
-		s.tries = append(s.tries, try{
+		s.calls = append(s.calls, clientCall{
 			at: ms("at", 4000), instance: rapid.IntRange(0, instances-1).Draw(t, "instance"),
-			id: rapid.IntRange(0, 1).Draw(t, "id"), patience: 100*time.Millisecond + ms("patience", 4000),
-			pause:   rapid.SampledFrom([]time.Duration{0, 0, 20 * time.Millisecond, 2 * time.Second, 90 * time.Second}).Draw(t, "pause"),
-			backend: rapid.SampledFrom(backendFates).Draw(t, "backend"),
+			id: rapid.IntRange(0, 1).Draw(t, "id"), timeout: 100*time.Millisecond + ms("patience", 4000),
+			pause:            rapid.SampledFrom([]time.Duration{0, 0, 20 * time.Millisecond, 2 * time.Second, 90 * time.Second}).Draw(t, "pause"),
+			backendBehaviour: rapid.SampledFrom(backendBehaviours).Draw(t, "backend"),
 		})
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "faults") {
@@ -74,83 +74,83 @@
 		}})
 	}
 	for range instances {
-		s.kills = append(s.kills, rapid.SampledFrom([]time.Duration{0, 0, 500 * time.Millisecond, 2 * time.Second}).Draw(t, "kill"))
+		s.killTimes = append(s.killTimes, rapid.SampledFrom([]time.Duration{0, 0, 500 * time.Millisecond, 2 * time.Second}).Draw(t, "kill"))
 		from := ms("cut from", 3000)
-		s.cuts = append(s.cuts, logFault{from: from, to: from + ms("cut for", 2000)})
+		s.partitions = append(s.partitions, logFault{from: from, to: from + ms("cut for", 2000)})
 	}
 	return s
 }
 
-// cuttable is one instance's way to the log.
-type cuttable struct {
+// partitionableLog is one instance's connection to the log.
+type partitionableLog struct {
 	port.Log
-	mu  sync.Mutex
-	cut bool
+	mu          sync.Mutex
+	partitioned bool
 }
 
-func (c *cuttable) set(cut bool) {
+func (c *partitionableLog) setPartitioned(cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
+	c.partitioned = cut
 }
 
-func (c *cuttable) isCut() bool {
+func (c *partitionableLog) isPartitioned() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut
+	return c.partitioned
 }
 
-func (c *cuttable) Append(ctx context.Context, s port.Stream, r []port.Record) (int64, error) {
-	if c.isCut() {
+func (c *partitionableLog) Append(ctx context.Context, s port.Stream, r []port.Record) (int64, error) {
+	if c.isPartitioned() {
 		return 0, errors.New("cut off")
 	}
 	return c.Log.Append(ctx, s, r)
 }
 
-func (c *cuttable) Read(ctx context.Context, s port.Stream, from int64) (port.Page, error) {
-	if c.isCut() {
+func (c *partitionableLog) Read(ctx context.Context, s port.Stream, from int64) (port.Page, error) {
+	if c.isPartitioned() {
 		return port.Page{}, errors.New("cut off")
 	}
 	return c.Log.Read(ctx, s, from)
 }
 
-// player plays a script.
-type player struct {
+// simulation runs a scenario.
+type simulation struct {
 	log       *standin.Log
 	mutate    func(*attempt.Options)
-	instances []*player1
+	instances []*simInstance
 
 	mu sync.Mutex
-	// ran counts runs by request, and by try.
-	ran     map[int]int
-	ranTry  map[int]int
-	answers map[int][]string
-	notRun  []int // tries that were told so
-	whole   int
+	// runsByRequest and runsByCall count the runs on backend servers.
+	runsByRequest    map[int]int
+	runsByCall       map[int]int
+	answersByRequest map[int][]string
+	reportedNotRun   []int // calls that were refused with outcome NotRun
+	completeAnswers  int
 }
 
-// player1 is one instance.
-type player1 struct {
-	way     *cuttable
+// simInstance is one simulated instance.
+type simInstance struct {
+	log     *partitionableLog
 	keeper  *attempt.Keeper
 	journal *state.Journal
 	cancel  context.CancelFunc
 	ctx     context.Context
 }
 
-func (p *player) start(i int) *player1 {
-	way := &cuttable{Log: p.log}
+func (p *simulation) start(i int) *simInstance {
+	log := &partitionableLog{Log: p.log}
 	ctx, cancel := context.WithCancel(context.Background())
-	in := &player1{way: way, journal: state.NewJournal(way, state.DefaultJournalOptions()), ctx: ctx, cancel: cancel}
+	in := &simInstance{log: log, journal: state.NewJournal(log, state.DefaultJournalOptions()), ctx: ctx, cancel: cancel}
 	ledger := attempt.NewLedger()
 	options := attempt.DefaultOptions()
 	if p.mutate != nil {
 		p.mutate(&options)
 	}
 	in.keeper = &attempt.Keeper{Instance: domain.InstanceID(fmt.Sprint("i", i)), Journal: in.journal, Ledger: ledger, Options: options}
-	follower := &state.Follower{Log: way, Stream: state.AttemptStream, From: ledger.Offset, Apply: func(e port.Entry) {
+	follower := &state.Follower{Log: log, Stream: state.AttemptStream, From: ledger.Offset, Apply: func(e port.Entry) {
 		if err := ledger.FoldEntry(e); err != nil {
-			panic(err) // the script writes only records that can be read
+			panic(err) // the simulation writes only decodable records
 		}
 		in.journal.Seen(state.AttemptStream, e)
 	}}
@@ -158,8 +158,8 @@
 	return in
 }
 
-// play returns the first broken promise, or "".
-func (p *player) play(s script) string {
+// run runs the scenario and returns the first violated invariant, or "".
+func (p *simulation) run(s scenario) string {
 	p.log = standin.NewLog(200 * time.Millisecond)
 	for i := range instances {
 		p.instances = append(p.instances, p.start(i))
@@ -174,24 +174,24 @@
 		})
 	}
 	for i, in := range p.instances {
-		wg.Go(func() { p.disturb(in, s.kills[i], s.cuts[i]) })
+		wg.Go(func() { p.injectFaults(in, s.killTimes[i], s.partitions[i]) })
 	}
-	for n, t := range s.tries {
-		wg.Go(func() { p.try(n, t) })
+	for n, t := range s.calls {
+		wg.Go(func() { p.runCall(n, t) })
 	}
 	wg.Wait()
 	for _, in := range p.instances {
 		in.cancel()
 		in.journal.Close()
 	}
-	return p.verdict()
+	return p.checkInvariants()
 }
 
-func (p *player) disturb(in *player1, kill time.Duration, cut logFault) {
+func (p *simulation) injectFaults(in *simInstance, kill time.Duration, cut logFault) {
 	time.Sleep(cut.from)
-	in.way.set(true)
+	in.log.setPartitioned(true)
 	time.Sleep(cut.to - cut.from)
-	in.way.set(false)
+	in.log.setPartitioned(false)
 	if kill > 0 {
 		time.Sleep(kill)
 		in.cancel()
@@ -199,13 +199,13 @@
 	}
 }
 
-func (p *player) try(n int, t try) {
+func (p *simulation) runCall(n int, t clientCall) {
 	time.Sleep(t.at)
 	in := p.instances[t.instance]
 	if in.ctx.Err() != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(in.ctx, t.patience)
+	ctx, cancel := context.WithTimeout(in.ctx, t.timeout)
 	defer cancel()
 	last := func(context.Context, any) (any, error) { return p.dispatch(n, t, in) }
 	call := &dispatch.Call{ID: fmt.Sprint("r", t.id), Account: "a", ClassName: "c", Body: []byte("body")}
@@ -213,88 +213,89 @@
 	if err != nil {
 		if domain.AsRefusal(err).Outcome == domain.NotRun {
 			p.mu.Lock()
-			p.notRun = append(p.notRun, n)
+			p.reportedNotRun = append(p.reportedNotRun, n)
 			p.mu.Unlock()
 		}
 		return
 	}
 	answer := response.(*dispatch.Answer)
 	raw, err := io.ReadAll(answer.Body)
-	_ = answer.Body.Close() // it is read
+	_ = answer.Body.Close() // already read to its end
 	if err != nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.answers[t.id] = append(p.answers[t.id], string(raw))
-	p.whole++
+	p.answersByRequest[t.id] = append(p.answersByRequest[t.id], string(raw))
+	p.completeAnswers++
 }
 
-// dispatch is the backend server. A process that was killed during its pause
-// dispatches nothing; one that was only paused does.
-func (p *player) dispatch(n int, t try, in *player1) (any, error) {
+// dispatch simulates the backend server. An instance that was killed during its
+// pause does not dispatch; one that was only paused does.
+func (p *simulation) dispatch(n int, t clientCall, in *simInstance) (any, error) {
 	time.Sleep(t.pause)
 	if in.ctx.Err() != nil {
 		return nil, in.ctx.Err()
 	}
-	if t.backend == "refuses" {
+	if t.backendBehaviour == "refuses" {
 		return nil, domain.Refuse(domain.ReasonDraining, "", "leaving", "")
 	}
 	p.mu.Lock()
-	p.ran[t.id]++
-	p.ranTry[n]++
+	p.runsByRequest[t.id]++
+	p.runsByCall[n]++
 	p.mu.Unlock()
-	if t.backend != "answers" {
+	if t.backendBehaviour != "answers" {
 		return nil, domain.OutcomeUnknown(domain.ReasonBackendFailed, "dropped")
 	}
 	body := []byte(fmt.Sprint("answer of try ", n))
 	return &dispatch.Answer{Status: 200, Length: int64(len(body)), Body: io.NopCloser(bytes.NewReader(body))}, nil
 }
 
-func (p *player) verdict() string {
-	for id, n := range p.ran {
+func (p *simulation) checkInvariants() string {
+	for id, n := range p.runsByRequest {
 		if n > 1 {
 			return fmt.Sprintf("request %d ran %d times", id, n)
 		}
 	}
-	for _, n := range p.notRun {
-		if p.ranTry[n] > 0 {
-			return fmt.Sprintf("try %d ran, but its caller was told that it did not", n)
+	for _, n := range p.reportedNotRun {
+		if p.runsByCall[n] > 0 {
+			return fmt.Sprintf("call %d ran, but was refused with outcome not-run", n)
 		}
 	}
-	for id, answers := range p.answers {
+	for id, answers := range p.answersByRequest {
 		for _, a := range answers {
 			if a != answers[0] {
-				return fmt.Sprintf("request %d got two answers: %q and %q", id, answers[0], a)
+				return fmt.Sprintf("request %d received two different answers: %q and %q", id, answers[0], a)
 			}
 		}
 	}
 	return ""
 }
 
-// playScript plays a script in fake time and returns the verdict.
-func playScript(t *testing.T, s script, mutate func(*attempt.Options)) (verdict string, whole int) {
+// runScenario runs a scenario in fake time and returns the first violated
+// invariant, or "", and the number of complete answers.
+func runScenario(t *testing.T, s scenario, mutate func(*attempt.Options)) (violation string, completeAnswers int) {
 	synctest.Test(t, func(*testing.T) {
-		p := &player{mutate: mutate, ran: map[int]int{}, ranTry: map[int]int{}, answers: map[int][]string{}}
-		verdict = p.play(s)
-		whole = p.whole
+		p := &simulation{mutate: mutate, runsByRequest: map[int]int{}, runsByCall: map[int]int{}, answersByRequest: map[int][]string{}}
+		violation = p.run(s)
+		completeAnswers = p.completeAnswers
 	})
-	return verdict, whole
+	return violation, completeAnswers
 }
 
 func TestRequestsRunAtMostOnceWhateverFails(t *testing.T) {
-	whole := 0
+	completeAnswers := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		verdict, n := playScript(t, drawScript(rt), nil)
-		whole += n
-		if verdict != "" {
-			rt.Fatalf("%s", verdict)
+		violation, n := runScenario(t, drawScenario(rt), nil)
+		completeAnswers += n
+		if violation != "" {
+			rt.Fatalf("%s", violation)
 		}
 	})
-	if whole == 0 {
-		t.Error("no request was ever answered: the property holds of nothing")
+	if completeAnswers == 0 {
+		t.Error("no request was answered, so the property was not exercised")
 	}
-	t.Logf("%d whole answers", whole)
+	t.Logf("%d complete answers", completeAnswers)
 }
 
 func TestAtMostOnceCatchesMutants(t *testing.T) {
@@ -305,12 +306,12 @@
 	for name, mutate := range mutants {
 		t.Run(name, func(t *testing.T) {
 			caught := seeded.Catches(t, func(rt *rapid.T) {
-				if verdict, _ := playScript(t, drawScript(rt), mutate); verdict != "" {
-					rt.Fatalf("%s", verdict)
+				if violation, _ := runScenario(t, drawScenario(rt), mutate); violation != "" {
+					rt.Fatalf("%s", violation)
 				}
 			})
 			if !caught {
-				t.Fatal("the property does not notice this mutant")
+				t.Fatal("the property does not detect this mutant")
 			}
 		})
 	}
--- a/requests/dispatch/rate.go
+++ b/requests/dispatch/rate.go
@@ -9,9 +9,9 @@
 	"github.com/cobalttide/cobalttide/requests/limit"
 )
 
-// Rate bounds each account's requests a second.
+// Rate limits the requests per second of each account.
 func Rate(rates *limit.Rates) endpoint.Middleware {
-	return filter(func(ctx context.Context, call *Call, next endpoint.Endpoint) (any, error) {
+	return newFilter(func(ctx context.Context, call *Call, next endpoint.Endpoint) (any, error) {
 		if refusal := rates.Allow(call.Account, call.PerSecond, time.Now()); refusal != nil {
 			return nil, refusal
 		}
--- a/requests/dispatch/route.go
+++ b/requests/dispatch/route.go
@@ -20,28 +20,30 @@
 	"github.com/cobalttide/cobalttide/requests/routing"
 )
 
-// RouteOptions bound routing and retries.
+// RouteOptions configure routing and retries.
 type RouteOptions struct {
-	// MaxAttempts bounds the dispatches of one request.
+	// MaxAttempts is the maximum number of dispatches of one request.
 	MaxAttempts int
-	// RetryBase is the base of the pause between them.
+	// RetryBase is the base of the exponential backoff between dispatches.
 	RetryBase time.Duration
-	// RetryAfter is what callers are told when no backend server is left.
+	// RetryAfter is the retry delay returned to callers when no backend server
+	// is available.
 	RetryAfter time.Duration
 }
 
-// DefaultRouteOptions are those that ship.
+// DefaultRouteOptions returns the options used in production.
 func DefaultRouteOptions() RouteOptions {
 	return RouteOptions{MaxAttempts: 3, RetryBase: 10 * time.Millisecond, RetryAfter: time.Second}
 }
 
-// Router is the last stage: it picks backend servers and calls them.
+// Router is the last stage of the pipeline: it picks backend servers and calls
+// them.
 type Router struct {
 	Table     *routing.Table
 	Budget    *retry.Budget
 	Transport http.RoundTripper
 	Options   RouteOptions
-	// OnRetry is told the reason of every retry, for metrics.
+	// OnRetry, if set, is called with the reason of every retry, for metrics.
 	OnRetry func(reason domain.Reason)
 }
 
@@ -52,74 +54,75 @@
 	}
 }
 
-// failure is why one dispatch brought no answer.
+// failure describes a dispatch that returned no usable answer.
 type failure struct {
 	reason domain.Reason
-	// notRun is set only when the request certainly did not run.
+	// notRun is set only when it is certain that the request did not run.
 	notRun bool
 	err    error
 }
 
-// route tries backend servers until one answers. A request that is not
-// idempotent is tried again only after a failure that proves it did not run.
+// route calls backend servers until one answers. A request that is not idempotent
+// is retried only after a failure that proves that it did not run.
 func (r *Router) route(ctx context.Context, call *Call) (*Answer, error) {
-	r.Budget.Earn()
+	r.Budget.Deposit()
 	var tried []*routing.Backend
 	notRun := true
 	var last *failure
-	for n := 1; ; n++ {
+	for attempts := 1; ; attempts++ {
 		backend := r.Table.Pick(time.Now(), routing.DefaultRandom, tried)
 		if backend == nil {
-			return nil, r.refuse(last, notRun, domain.ReasonNoBackend, "no backend server can take the request")
+			return nil, r.refusalFor(last, notRun, domain.ReasonNoBackend, "no backend server can accept the request")
 		}
-		answer, failed := r.try(ctx, call, backend)
+		answer, failed := r.callBackend(ctx, call, backend)
 		if failed == nil {
-			answer.Attempts = n
+			answer.Attempts = attempts
 			return answer, nil
 		}
 		tried = append(tried, backend)
 		last = failed
 		notRun = notRun && failed.notRun
 		if !failed.notRun && !call.Class.Idempotent {
-			return nil, domain.OutcomeUnknown(failed.reason, "the backend server may have run it: "+failed.err.Error())
+			return nil, domain.OutcomeUnknown(failed.reason, "the backend server may have run the request: "+failed.err.Error())
 		}
-		if n >= r.Options.MaxAttempts || !r.mayRetry(ctx, failed, n) {
-			return nil, r.refuse(last, notRun, failed.reason, failed.err.Error())
+		if attempts >= r.Options.MaxAttempts || !r.waitForRetry(ctx, failed, attempts) {
+			return nil, r.refusalFor(last, notRun, failed.reason, failed.err.Error())
 		}
 	}
 }
 
-// mayRetry spends the budget and waits, unless the deadline comes first. A
-// failure that proves that nothing ran costs no backend server any work.
-func (r *Router) mayRetry(ctx context.Context, failed *failure, n int) bool {
-	if ctx.Err() != nil || !r.Budget.Spend() {
+// waitForRetry takes a retry from the budget and waits for the backoff. It
+// returns false if the budget is exhausted or the deadline passes first. A failure
+// that proves that the request did not run has cost no backend server any work.
+func (r *Router) waitForRetry(ctx context.Context, failed *failure, n int) bool {
+	if ctx.Err() != nil || !r.Budget.TryWithdraw() {
 		return false
 	}
 	if r.OnRetry != nil {
 		r.OnRetry(failed.reason)
 	}
 	select {
-	case <-time.After(retry.Pause(r.Options.RetryBase, n)):
+	case <-time.After(retry.Backoff(r.Options.RetryBase, n)):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (r *Router) refuse(last *failure, notRun bool, reason domain.Reason, message string) *domain.Refusal {
+func (r *Router) refusalFor(last *failure, notRun bool, reason domain.Reason, message string) *domain.Refusal {
 	if last != nil && reason == domain.ReasonNoBackend {
 		reason = last.reason
 		message = last.err.Error()
 	}
 	if !notRun {
 		refusal := domain.OutcomeUnknown(reason, message)
-		refusal.Remedy = "repeat it: its class is idempotent"
+		refusal.Remedy = "retry it: its class is idempotent"
 		return refusal.After(r.Options.RetryAfter)
 	}
-	return domain.Refuse(reason, "", message, "come back after the time given").After(r.Options.RetryAfter)
+	return domain.Refuse(reason, "", message, "retry after the given time").After(r.Options.RetryAfter)
 }
 
-func (r *Router) try(ctx context.Context, call *Call, backend *routing.Backend) (*Answer, *failure) {
+func (r *Router) callBackend(ctx context.Context, call *Call, backend *routing.Backend) (*Answer, *failure) {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	callCtx, cancel := context.WithCancel(httptrace.WithClientTrace(ctx, trace))
@@ -133,23 +136,23 @@
 	response, err := r.Transport.RoundTrip(request)
 	if err != nil {
 		cancel()
-		r.endFailed(ctx, backend, began)
-		return nil, &failure{reason: r.reasonOf(ctx), notRun: !sent.Load(), err: err}
+		r.recordFailure(ctx, backend, began)
+		return nil, &failure{reason: r.failureReason(ctx), notRun: !sent.Load(), err: err}
 	}
-	if failed := r.judge(call, backend, response); failed != nil {
-		_ = response.Body.Close() // nothing of it is passed on
+	if failed := r.checkHeaders(call, backend, response); failed != nil {
+		_ = response.Body.Close() // the body is discarded
 		cancel()
 		r.Table.Done(backend, time.Since(began), !backend.Leaving(), time.Now())
 		return nil, failed
 	}
-	return r.answer(call, backend, response, began, cancel), nil
+	return r.streamAnswer(call, backend, response, began, cancel), nil
 }
 
 func newRequest(ctx context.Context, call *Call, backend *routing.Backend) (*http.Request, error) {
 	url := "http://" + backend.Spec.Address + "/run/" + string(call.ClassName)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(call.Body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make the backend server's request")
+		return nil, errors.Wrap(err, "create request to backend server")
 	}
 	request.Header.Set(port.HeaderID, call.ID)
 	request.Header.Set(port.HeaderAccount, string(call.Account))
@@ -160,8 +163,9 @@
 	return request, nil
 }
 
-// endFailed blames the backend server, unless the caller ran out of time.
-func (r *Router) endFailed(ctx context.Context, backend *routing.Backend, began time.Time) {
+// recordFailure counts the failure against the backend server, unless the caller
+// cancelled the request.
+func (r *Router) recordFailure(ctx context.Context, backend *routing.Backend, began time.Time) {
 	if ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		r.Table.Release(backend)
 		return
@@ -169,15 +173,16 @@
 	r.Table.Done(backend, time.Since(began), true, time.Now())
 }
 
-func (r *Router) reasonOf(ctx context.Context) domain.Reason {
+func (r *Router) failureReason(ctx context.Context) domain.Reason {
 	if ctx.Err() != nil {
 		return domain.ReasonDeadline
 	}
 	return domain.ReasonBackendFailed
 }
 
-// judge takes in what the answer's head says, before any of it is passed on.
-func (r *Router) judge(call *Call, backend *routing.Backend, response *http.Response) *failure {
+// checkHeaders updates the backend server's state from the response headers, and
+// returns a failure if the response must not be passed on.
+func (r *Router) checkHeaders(call *Call, backend *routing.Backend, response *http.Response) *failure {
 	now := time.Now()
 	if load, err := strconv.Atoi(response.Header.Get(port.HeaderLoad)); err == nil {
 		backend.Report(load, now)
@@ -186,22 +191,22 @@
 		backend.Leave()
 	}
 	if response.Header.Get(port.HeaderNotRun) != "" {
-		return &failure{reason: domain.ReasonDraining, notRun: true, err: errors.New("the backend server did not run it")}
+		return &failure{reason: domain.ReasonDraining, notRun: true, err: errors.New("the backend server did not run the request")}
 	}
 	if id := response.Header.Get(port.HeaderID); id != call.ID {
-		return &failure{reason: domain.ReasonAnswerIncomplete, err: errors.New("the backend server sent the answer to another request")}
+		return &failure{reason: domain.ReasonAnswerIncomplete, err: errors.New("the backend server returned the answer to another request")}
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		return &failure{reason: domain.ReasonBackendFailed, err: fmt.Errorf("the backend server answered %d", response.StatusCode)}
+		return &failure{reason: domain.ReasonBackendFailed, err: fmt.Errorf("the backend server returned status %d", response.StatusCode)}
 	}
 	return nil
 }
 
-func (r *Router) answer(call *Call, backend *routing.Backend, response *http.Response, began time.Time, cancel context.CancelFunc) *Answer {
+func (r *Router) streamAnswer(call *Call, backend *routing.Backend, response *http.Response, began time.Time, cancel context.CancelFunc) *Answer {
 	body := &checkedBody{ReadCloser: response.Body, response: response, id: call.ID}
 	end := func() {
 		cancel()
-		r.Table.Done(backend, time.Since(began), !body.whole, time.Now())
+		r.Table.Done(backend, time.Since(began), !body.complete, time.Now())
 	}
 	return &Answer{
 		Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"),
@@ -209,17 +214,18 @@
 	}
 }
 
-// ErrIncomplete says that a body ended before its length or its end marker.
+// ErrIncomplete is returned when a body ends before its declared length or
+// without its end marker.
 var ErrIncomplete = errors.New("the backend server's answer ended early")
 
-// checkedBody passes a body on and reports its end as io.EOF only when it is
-// whole: net/http checks a declared length; an answer of unknown length must
-// end with a trailer that repeats the id.
+// checkedBody returns io.EOF only at the end of a complete body. net/http checks
+// a declared length; an answer of unknown length must end with a trailer that
+// repeats the request id.
 type checkedBody struct {
 	io.ReadCloser
 	response *http.Response
 	id       string
-	whole    bool
+	complete bool
 }
 
 // Read implements io.Reader.
@@ -231,6 +237,6 @@
 	if b.response.ContentLength < 0 && b.response.Trailer.Get(port.HeaderEnd) != b.id {
 		return n, ErrIncomplete
 	}
-	b.whole = true
+	b.complete = true
 	return n, io.EOF
 }
--- a/requests/doc.go
+++ b/requests/doc.go
@@ -1,5 +1,5 @@
-// Package requests holds the pipeline of short requests to backend servers, a stage
-// a package: dispatch takes a request through them all; limit admits it, routing chooses
-// the backend server, retry says whether it may be tried again, and attempt keeps the
-// ledger by which one that is not idempotent runs at most once.
+// Package requests contains the pipeline that sends short requests to backend servers,
+// one package per stage: dispatch runs a request through all stages, limit admits it,
+// routing chooses the backend server, retry bounds its retries, and attempt maintains the
+// ledger that ensures that a request which is not idempotent runs at most once.
 package requests
--- a/requests/limit/gate.go
+++ b/requests/limit/gate.go
@@ -1,5 +1,5 @@
-// Package limit bounds what an instance takes on: requests a second for each
-// account, and requests at once for all, shared fairly between accounts.
+// Package limit bounds the load that an instance accepts: requests per second for
+// each account, and concurrent requests in total, shared fairly between accounts.
 package limit
 
 import (
@@ -10,30 +10,31 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// GateOptions bound a gate.
+// GateOptions configure a Gate.
 type GateOptions struct {
-	// MaxWaiting bounds the requests that wait, over all accounts.
+	// MaxWaiting is the maximum number of queued requests of all accounts.
 	MaxWaiting int
-	// Least and Most bound the adaptive number of requests at once.
+	// Least and Most bound the adaptive limit on concurrent requests.
 	Least, Most int
 }
 
-// DefaultGateOptions suit an instance with some dozens of backend servers.
+// DefaultGateOptions returns options for an instance with some dozens of backend
+// servers.
 func DefaultGateOptions() GateOptions {
 	return GateOptions{MaxWaiting: 2000, Least: 8, Most: 20_000}
 }
 
-// Ticket is one request's claim to pass a gate.
-type Ticket struct {
+// Request describes one request that asks for admission.
+type Request struct {
 	Account  domain.AccountID
 	Weight   int
 	Priority int
-	// Deadline is when the answer must be there.
+	// Deadline is the time by which the answer must arrive.
 	Deadline time.Time
 }
 
 type waiter struct {
-	Ticket
+	Request
 	seq   uint64
 	ready chan error
 }
@@ -44,11 +45,11 @@
 	waiting  int
 }
 
-// Gate lets a bounded number of requests through at once. When it is full,
-// free places go to the account that uses least for its weight, within it to
-// the highest priority, then to the earliest. A request that can't be served
-// by its deadline is refused at once, and told when to come back. Safe for
-// concurrent use.
+// Gate admits a bounded number of concurrent requests. When it is full, requests
+// queue, and a slot that becomes free goes to the account with the lowest use
+// relative to its weight; within the account to the highest priority, then to the
+// earliest request. A request that cannot be served by its deadline is refused
+// immediately with a retry delay. Gate is safe for concurrent use.
 type Gate struct {
 	options GateOptions
 
@@ -58,16 +59,17 @@
 	waiting  []*waiter
 	shares   map[domain.AccountID]*share
 	seq      uint64
-	// service is the moving average of the time between Enter and Leave.
-	service time.Duration
+	// meanServiceTime is the moving average of the time that requests stay
+	// admitted.
+	meanServiceTime time.Duration
 }
 
-// NewGate returns a gate that lets limit requests through at once.
+// NewGate returns a gate that admits limit concurrent requests.
 func NewGate(limit int, options GateOptions) *Gate {
 	return &Gate{options: options, limit: limit, shares: map[domain.AccountID]*share{}}
 }
 
-// SetLimit changes the number of requests at once, within the options' bounds.
+// SetLimit changes the limit on concurrent requests, within the options' bounds.
 func (g *Gate) SetLimit(limit int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,46 +77,46 @@
 	g.grant(now)
 }
 
-// Load returns the requests that are through, and those that wait.
+// Load returns the numbers of admitted and of queued requests.
 func (g *Gate) Load() (inFlight, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight, len(g.waiting)
 }
 
-// Enter passes the gate, or waits, or refuses. After a nil error the caller
-// must call Leave.
-func (g *Gate) Enter(ctx context.Context, ticket Ticket, now time.Time) error {
+// Enter admits the request, waits until it can be admitted, or refuses it. After
+// a nil error the caller must call Leave.
+func (g *Gate) Enter(ctx context.Context, request Request, now time.Time) error {
 	g.mu.Lock()
-	s := g.share(ticket)
+	s := g.accountShare(request)
 	if g.inFlight < g.limit && len(g.waiting) == 0 {
 		g.admit(s)
 		g.mu.Unlock()
 		return nil
 	}
-	if refusal := g.tooLate(ticket, now); refusal != nil {
+	if refusal := g.refuseIfLate(request, now); refusal != nil {
 		g.mu.Unlock()
 		return refusal
 	}
-	w := g.wait(ticket, s)
+	queued := g.enqueue(request, s)
 	g.shed(now)
 	g.mu.Unlock()
 
 	select {
-	case err := <-w.ready:
+	case err := <-queued.ready:
 		return err
 	case <-ctx.Done():
-		return g.leaveQueue(w)
+		return g.leaveQueue(queued)
 	}
 }
 
-func (g *Gate) share(t Ticket) *share {
-	s, ok := g.shares[t.Account]
+func (g *Gate) accountShare(request Request) *share {
+	s, ok := g.shares[request.Account]
 	if !ok {
 		s = &share{}
-		g.shares[t.Account] = s
+		g.shares[request.Account] = s
 	}
-	s.weight = max(1, t.Weight)
+	s.weight = max(1, request.Weight)
 	return s
 }
 
@@ -123,77 +125,81 @@
 	g.inFlight++
 }
 
-func (g *Gate) wait(t Ticket, s *share) *waiter {
+func (g *Gate) enqueue(request Request, s *share) *waiter {
 	g.seq++
 	s.waiting++
-	w := &waiter{Ticket: t, seq: g.seq, ready: make(chan error, 1)}
+	w := &waiter{Request: request, seq: g.seq, ready: make(chan error, 1)}
 	g.waiting = append(g.waiting, w)
 	return w
 }
 
-// expectedWait is how long the account's queue takes to drain at its share of
-// the gate.
-func (g *Gate) expectedWait(t Ticket) time.Duration {
-	if g.service == 0 {
+// expectedWait estimates how long the account's queue takes to drain at its share
+// of the gate.
+func (g *Gate) expectedWait(request Request) time.Duration {
+	if g.meanServiceTime == 0 {
 		return 0
 	}
-	mine := g.shares[t.Account]
+	own := g.shares[request.Account]
 	weights := 0
 	for _, s := range g.shares {
-		if s.inFlight+s.waiting > 0 || s == mine {
+		if s.inFlight+s.waiting > 0 || s == own {
 			weights += s.weight
 		}
 	}
-	places := max(1, g.limit*mine.weight/max(1, weights))
+	slots := max(1, g.limit*own.weight/max(1, weights))
 	ahead := 0
 	for _, w := range g.waiting {
-		if w.Account == t.Account && w.Priority >= t.Priority {
+		if w.Account == request.Account && w.Priority >= request.Priority {
 			ahead++
 		}
 	}
-	return g.service * time.Duration(ahead+1) / time.Duration(places)
+	return g.meanServiceTime * time.Duration(ahead+1) / time.Duration(slots)
 }
 
-// marginServices is how many mean service times must be left to a deadline when
-// a place is granted. Service times have long tails: with one, a third of what
-// is granted last under overload is late, and its work is lost.
-const marginServices = 4
+// marginServiceTimes is the number of mean service times that must remain before
+// the deadline when a request is admitted. Service times have long tails: with a
+// margin of one, a third of the requests admitted last under overload are late and
+// their work is lost.
+const marginServiceTimes = 4
 
-func (g *Gate) margin() time.Duration { return marginServices * g.service }
+func (g *Gate) deadlineMargin() time.Duration { return marginServiceTimes * g.meanServiceTime }
 
-// tooLate refuses a request that would have to wait past its deadline.
-func (g *Gate) tooLate(t Ticket, now time.Time) *domain.Refusal {
-	wait := g.expectedWait(t)
-	if now.Add(wait + g.margin()).Before(t.Deadline) {
+// refuseIfLate returns a refusal if the request would have to wait past its
+// deadline, and nil otherwise.
+func (g *Gate) refuseIfLate(request Request, now time.Time) *domain.Refusal {
+	wait := g.expectedWait(request)
+	if now.Add(wait + g.deadlineMargin()).Before(request.Deadline) {
 		return nil
 	}
-	return overloaded(wait + g.margin())
+	return overloaded(wait + g.deadlineMargin())
 }
 
 func overloaded(retryAfter time.Duration) *domain.Refusal {
 	return domain.Refuse(domain.ReasonOverloaded, "",
 		"the request would not be served by its deadline",
-		"come back after the time given, or allow more time").After(max(retryAfter, 100*time.Millisecond))
+		"retry after the given time, or set a later deadline").After(max(retryAfter, 100*time.Millisecond))
 }
 
-// shed ends the waiter that has least claim when too many wait: of the account
-// that waits with most for its weight, the one with the lowest priority that
-// came last.
+// shed refuses one queued request when too many wait: of the account with the
+// most queued requests relative to its weight, the newest one of the lowest
+// priority.
 func (g *Gate) shed(now time.Time) {
 	if len(g.waiting) <= g.options.MaxWaiting {
 		return
 	}
 	worst := 0
 	for i, w := range g.waiting {
-		if g.lessClaim(w, g.waiting[worst]) {
+		if g.shedsBefore(w, g.waiting[worst]) {
 			worst = i
 		}
 	}
 	w := g.remove(worst)
-	w.ready <- overloaded(g.expectedWait(w.Ticket))
+	w.ready <- overloaded(g.expectedWait(w.Request))
 }
 
-func (g *Gate) lessClaim(a, b *waiter) bool {
+// shedsBefore reports whether a is shed before b.
+// shedsBefore reports whether a is shed before b.
+func (g *Gate) shedsBefore(a, b *waiter) bool {
 	sa, sb := g.shares[a.Account], g.shares[b.Account]
 	if a.Account != b.Account {
 		return sa.waiting*sb.weight > sb.waiting*sa.weight
@@ -211,18 +217,19 @@
 	return w
 }
 
-// grant hands free places out.
+// grant admits queued requests while there are free slots, and refuses those that
+// would be late.
 func (g *Gate) grant(now time.Time) {
 	for g.inFlight < g.limit && len(g.waiting) > 0 {
 		best := 0
 		for i, w := range g.waiting {
-			if g.moreClaim(w, g.waiting[best]) {
+			if g.grantsBefore(w, g.waiting[best]) {
 				best = i
 			}
 		}
 		w := g.remove(best)
-		if !now.Add(g.margin()).Before(w.Deadline) {
-			w.ready <- overloaded(g.expectedWait(w.Ticket))
+		if !now.Add(g.deadlineMargin()).Before(w.Deadline) {
+			w.ready <- overloaded(g.expectedWait(w.Request))
 			continue
 		}
 		g.admit(g.shares[w.Account])
@@ -230,7 +237,9 @@
 	}
 }
 
-func (g *Gate) moreClaim(a, b *waiter) bool {
+// grantsBefore reports whether a is admitted before b.
+// grantsBefore reports whether a is admitted before b.
+func (g *Gate) grantsBefore(a, b *waiter) bool {
 	sa, sb := g.shares[a.Account], g.shares[b.Account]
 	if useA, useB := sa.inFlight*sb.weight, sb.inFlight*sa.weight; useA != useB {
 		return useA < useB
@@ -248,21 +257,23 @@
 		if other == w {
 			g.remove(i)
 			return domain.Refuse(domain.ReasonDeadline, "", "the deadline passed while the request waited",
-				"come back after the time given").After(max(g.service, 100*time.Millisecond))
+				"retry after the given time").After(max(g.meanServiceTime, 100*time.Millisecond))
 		}
 	}
-	// The place was granted at the same moment; the caller has it.
+	// The request was admitted or refused at the same moment.
 	return <-w.ready
 }
 
-// serviceSmoothing is the weight of the newest service time.
+// serviceSmoothing is the divisor of the newest service time's weight in the
+// moving average: the weight is 1/16.
 const serviceSmoothing = 16
 
-// Leave gives a place back.
+// Leave releases the slot of an admitted request and updates the mean service
+// time.
 func (g *Gate) Leave(account domain.AccountID, took time.Duration, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.service += (took - g.service) / serviceSmoothing
+	g.meanServiceTime += (took - g.meanServiceTime) / serviceSmoothing
 	g.shares[account].inFlight--
 	g.inFlight--
 	g.grant(now)
--- a/requests/limit/rate.go
+++ b/requests/limit/rate.go
@@ -9,20 +9,21 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// burstSeconds is how much of a second's rate may come at once.
+// burstSeconds is the burst size, in seconds of an account's rate.
 const burstSeconds = 1.0
 
-// Rates bounds each account's requests a second. Safe for concurrent use.
+// Rates limits the requests per second of each account. It is safe for concurrent
+// use.
 type Rates struct {
 	mu       sync.Mutex
 	limiters map[domain.AccountID]*rate.Limiter
 }
 
-// NewRates returns bounds that follow the declarations.
+// NewRates returns rate limits that have seen no account yet.
 func NewRates() *Rates { return &Rates{limiters: map[domain.AccountID]*rate.Limiter{}} }
 
-// Allow takes one request of the account, or refuses it with the time at which
-// to come back.
+// Allow admits one request of the account and returns nil, or returns a refusal
+// with a retry delay. A changed perSecond takes effect immediately.
 func (r *Rates) Allow(id domain.AccountID, perSecond float64, now time.Time) *domain.Refusal {
 	limiter := r.limiter(id, perSecond, now)
 	reservation := limiter.ReserveN(now, 1)
@@ -31,8 +32,8 @@
 		return nil
 	}
 	reservation.CancelAt(now)
-	return domain.Refuse(domain.ReasonRateLimited, "", "the account is above its requests a second at this instance",
-		"come back after the time given, or have requests_per_second raised").After(delay)
+	return domain.Refuse(domain.ReasonRateLimited, "", "the account exceeds its requests per second at this instance",
+		"retry after the given time, or have requests_per_second raised").After(delay)
 }
 
 func (r *Rates) limiter(id domain.AccountID, perSecond float64, now time.Time) *rate.Limiter {
--- a/requests/retry/budget.go
+++ b/requests/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry bounds retries as a share of traffic, so that failing backend
-// servers are not met with a storm.
+// Package retry limits retries to a share of the traffic, so that failing backend
+// servers do not cause a retry storm.
 package retry
 
 import (
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Budget earns a part of a retry with every request and spends a whole one on
-// every retry. Safe for concurrent use.
+// Budget is a retry budget: every request adds a fraction of a retry, and every
+// retry subtracts one. It is safe for concurrent use.
 type Budget struct {
-	mu      sync.Mutex
-	share   float64
-	most    float64
-	balance float64
+	mu         sync.Mutex
+	ratio      float64
+	maxBalance float64
+	balance    float64
 }
 
-// NewBudget allows retries up to share of the requests, with a reserve of most
-// for bursts.
-func NewBudget(share, most float64) *Budget {
-	return &Budget{share: share, most: most, balance: most}
+// NewBudget returns a budget that allows retries for the given ratio of requests,
+// and bursts of up to maxBalance retries.
+func NewBudget(ratio, maxBalance float64) *Budget {
+	return &Budget{ratio: ratio, maxBalance: maxBalance, balance: maxBalance}
 }
 
-// Earn notes one request.
-func (b *Budget) Earn() {
+// Deposit adds ratio to the balance for one request.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.balance = min(b.balance+b.share, b.most)
+	b.balance = min(b.balance+b.ratio, b.maxBalance)
 }
 
-// Spend takes one retry from the budget, if there is one.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes one retry from the budget and reports whether there was one.
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < 1 {
@@ -41,8 +41,8 @@
 	return true
 }
 
-// Pause returns the wait before a retry: exponential with full jitter. n counts
-// the retries from 1.
-func Pause(base time.Duration, n int) time.Duration {
+// Backoff returns the wait before the nth retry, counted from 1: exponential with
+// full jitter.
+func Backoff(base time.Duration, n int) time.Duration {
 	return time.Duration(rand.Int64N(int64(base << min(n-1, 10))))
 }
--- a/requests/routing/backend.go
+++ b/requests/routing/backend.go
@@ -1,6 +1,7 @@
 // Package routing chooses a backend server for each request. Instances choose
-// alone: from their own requests in flight, from the load that backend servers
-// report with their answers, and from how those answers turned out.
+// independently of each other, based on their own requests in flight, on the load
+// that backend servers report with their answers, and on the latency and success
+// of those answers.
 package routing
 
 import (
@@ -11,65 +12,69 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Backend is what one instance knows of one backend server. Safe for
-// concurrent use.
+// Backend is the state that one instance has of one backend server. It is safe
+// for concurrent use.
 type Backend struct {
 	Spec domain.BackendServer
 
 	inFlight atomic.Int64
-	// reported is the server's own count of requests, with reportedAt.
+	// reported is the server's own count of requests, received at reportedAt, in
+	// Unix nanoseconds.
 	reported   atomic.Int64
 	reportedAt atomic.Int64
-	// latency and failing are moving averages, as float bits: seconds, and the
-	// share of failures.
-	latency atomic.Uint64
-	failing atomic.Uint64
-	samples atomic.Int64
-	leaving atomic.Bool
-	// ejectedUntil is when the next probe is due, in unix nanoseconds; 0 when
-	// the server is in use.
+	// latency and failureRate are moving averages, stored as float64 bits: seconds,
+	// and the share of failures.
+	latency     atomic.Uint64
+	failureRate atomic.Uint64
+	samples     atomic.Int64
+	leaving     atomic.Bool
+	// ejectedUntil is the time of the next probe in Unix nanoseconds; 0 when the
+	// server is not ejected.
 	ejectedUntil atomic.Int64
 	ejections    atomic.Int64
 	probing      atomic.Bool
 }
 
-// InFlight returns this instance's requests at the server.
+// InFlight returns the number of this instance's requests at the server.
 func (b *Backend) InFlight() int { return int(b.inFlight.Load()) }
 
-// Leaving tells whether the server gets nothing new.
+// Leaving reports whether the server receives no new requests.
 func (b *Backend) Leaving() bool { return b.leaving.Load() }
 
-// Leave marks the server as leaving, for good.
+// Leave marks the server as leaving. This cannot be undone.
 func (b *Backend) Leave() { b.leaving.Store(true) }
 
-// Ejected tells whether the server is put aside at the moment.
+// Ejected reports whether the server is ejected: it receives only probes.
 func (b *Backend) Ejected() bool { return b.ejectedUntil.Load() != 0 }
 
-// Report takes in the server's own count of requests in work and waiting.
+// Report records the server's own count of running and queued requests.
 func (b *Backend) Report(load int, now time.Time) {
 	b.reported.Store(int64(load))
 	b.reportedAt.Store(now.UnixNano())
 }
 
-// reportLife is how long a report counts: its weight falls to nothing.
-const reportLife = 200 * time.Millisecond
+// reportValidity is the time over which the weight of a load report decreases
+// linearly to zero.
+const reportValidity = 200 * time.Millisecond
 
-// Load estimates the requests at the server: what this instance has there, or
-// what the server reported while that is fresh, whichever is more.
+// Load estimates the number of requests at the server: the larger of this
+// instance's own count and, while it is recent, the server's reported count.
 func (b *Backend) Load(now time.Time) float64 {
 	own := float64(b.inFlight.Load())
 	age := now.UnixNano() - b.reportedAt.Load()
-	if age < 0 || age > int64(reportLife) {
+	if age < 0 || age > int64(reportValidity) {
 		return own
 	}
-	fresh := 1 - float64(age)/float64(reportLife)
+	fresh := 1 - float64(age)/float64(reportValidity)
 	return max(own, fresh*float64(b.reported.Load())+(1-fresh)*own)
 }
 
-// smoothing is the weight of a new answer in the averages.
+// smoothing is the weight of a new answer in the moving averages.
 const smoothing = 0.1
 
-func average(bits *atomic.Uint64, value, weight float64) {
+// updateAverage adds a value to the moving average stored in bits.
+// updateAverage adds a value to the moving average stored in bits.
+func updateAverage(bits *atomic.Uint64, value, weight float64) {
 	for {
 		old := bits.Load()
 		next := math.Float64frombits(old)*(1-weight) + value*weight
@@ -79,16 +84,18 @@
 	}
 }
 
-// Latency returns the moving average in seconds.
+// Latency returns the moving average of the latency of successful requests, in
+// seconds.
 func (b *Backend) Latency() float64 { return math.Float64frombits(b.latency.Load()) }
 
-// Failing returns the moving share of failures.
-func (b *Backend) Failing() float64 { return math.Float64frombits(b.failing.Load()) }
+// FailureRate returns the moving average of the share of failures.
+func (b *Backend) FailureRate() float64 { return math.Float64frombits(b.failureRate.Load()) }
 
-func (b *Backend) begin() { b.inFlight.Add(1) }
+func (b *Backend) beginRequest() { b.inFlight.Add(1) }
 
-// end takes in one answer.
-func (b *Backend) end(took time.Duration, failed bool) {
+// endRequest records the end of one request and updates the moving averages. The
+// first samples have equal weight.
+func (b *Backend) endRequest(took time.Duration, failed bool) {
 	b.inFlight.Add(-1)
 	weight := smoothing
 	if n := b.samples.Add(1); n < 1/smoothing {
@@ -98,8 +105,8 @@
 	if failed {
 		share = 1
 	}
-	average(&b.failing, share, weight)
+	updateAverage(&b.failureRate, share, weight)
 	if !failed {
-		average(&b.latency, took.Seconds(), weight)
+		updateAverage(&b.latency, took.Seconds(), weight)
 	}
 }
--- a/requests/routing/table.go
+++ b/requests/routing/table.go
@@ -9,34 +9,35 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Options bound routing.
+// Options configure routing.
 type Options struct {
-	// QueuePerSlot is how many requests a slot may have, working and waiting,
-	// before the server counts as full.
-	QueuePerSlot float64
-	// EjectFailing is the share of failures above which a server is ejected.
-	EjectFailing float64
-	// EjectSlower is how many times slower than the median a server may be.
-	EjectSlower float64
-	// MinSamples is how many answers count before a server is judged.
+	// MaxLoadPerSlot is the number of running and queued requests per slot at
+	// which a server counts as full.
+	MaxLoadPerSlot float64
+	// EjectFailureRate is the share of failures above which a server is ejected.
+	EjectFailureRate float64
+	// EjectLatencyFactor is the ratio of a server's latency to the mean latency of
+	// the other servers above which it is ejected.
+	EjectLatencyFactor float64
+	// MinSamples is the number of answers below which a server is not ejected.
 	MinSamples int64
 	// MaxEjected is the largest share of servers that may be ejected at once.
 	MaxEjected float64
-	// Probe is the time until an ejected server is tried again; it doubles up
-	// to MaxProbe.
-	Probe, MaxProbe time.Duration
+	// ProbeInterval is the time until an ejected server is probed; it doubles up to
+	// MaxProbeInterval while probes fail.
+	ProbeInterval, MaxProbeInterval time.Duration
 }
 
-// DefaultOptions are those that ship.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
-		QueuePerSlot: 2, EjectFailing: 0.5, EjectSlower: 4, MinSamples: 5,
-		MaxEjected: 0.5, Probe: time.Second, MaxProbe: 30 * time.Second,
+		MaxLoadPerSlot: 2, EjectFailureRate: 0.5, EjectLatencyFactor: 4, MinSamples: 5,
+		MaxEjected: 0.5, ProbeInterval: time.Second, MaxProbeInterval: 30 * time.Second,
 	}
 }
 
-// Table is the set of backend servers that one instance routes to. Pick is
-// lock-free. Safe for concurrent use.
+// Table is the set of backend servers that one instance routes to. It is safe for
+// concurrent use; Pick is lock-free.
 type Table struct {
 	Home    domain.DataCentre
 	options Options
@@ -55,8 +56,8 @@
 	return t
 }
 
-// Update takes in the platform's list. What is known of servers that stay is
-// kept; a server that returns under a new address is a new server.
+// Update applies the platform's list of servers. The state of servers that remain
+// is kept; a server whose address changed counts as a new server.
 func (t *Table) Update(specs []domain.BackendServer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,12 +83,13 @@
 	t.remote.Store(&remote)
 }
 
-// Backends returns all servers.
+// Backends returns all servers, those of the home data centre first.
 func (t *Table) Backends() []*Backend {
 	return append(append([]*Backend(nil), *t.local.Load()...), *t.remote.Load()...)
 }
 
-// Slots returns the slots of the servers that may be used now.
+// Slots returns the total number of slots of the usable servers in the home data
+// centre.
 func (t *Table) Slots() int {
 	n := 0
 	for _, b := range *t.local.Load() {
@@ -98,58 +100,59 @@
 	return n
 }
 
-// Random is the source of choices; rand.Uint32 in production.
-type Random func() uint32
+// RandomSource returns random numbers; it is rand.Uint32 in production.
+type RandomSource func() uint32
 
-// DefaultRandom is the process-wide generator.
+// DefaultRandom uses the process-wide generator.
 func DefaultRandom() uint32 { return rand.Uint32() }
 
-// Pick chooses a server and counts a request there; every pick is ended by
-// Done. It prefers the home data centre and spills only when all of it is
-// full. tried are servers that this request has had already. Nil means that no
-// server can take the request.
-func (t *Table) Pick(now time.Time, random Random, tried []*Backend) *Backend {
+// Pick chooses a server and counts a request in flight there; the caller must end
+// it with Done or Release. It uses other data centres only when no server of the
+// home data centre can accept the request. tried are the servers that have already
+// failed this request. Pick returns nil if no server can accept the request.
+func (t *Table) Pick(now time.Time, random RandomSource, tried []*Backend) *Backend {
 	if b := t.pickFrom(*t.local.Load(), now, random, tried); b != nil {
 		return b
 	}
 	return t.pickFrom(*t.remote.Load(), now, random, tried)
 }
 
-// candidates is how many servers are compared; the power of two choices.
-const candidates = 2
+// sampleSize is the number of random servers that are compared (power of two
+// choices).
+const sampleSize = 2
 
-func (t *Table) pickFrom(servers []*Backend, now time.Time, random Random, tried []*Backend) *Backend {
+func (t *Table) pickFrom(servers []*Backend, now time.Time, random RandomSource, tried []*Backend) *Backend {
 	if len(servers) == 0 {
 		return nil
 	}
 	if b := t.dueProbe(servers, now, random); b != nil && !contains(tried, b) {
-		b.begin()
+		b.beginRequest()
 		return b
 	}
 	var best *Backend
 	bestLoad := 0.0
-	for range candidates {
+	for range sampleSize {
 		b := servers[int(random()%uint32(len(servers)))]
-		if load := b.relativeLoad(now); t.usable(b, load, tried) && (best == nil || load < bestLoad) {
+		if load := b.relativeLoad(now); t.isUsable(b, load, tried) && (best == nil || load < bestLoad) {
 			best, bestLoad = b, load
 		}
 	}
 	if best == nil {
-		best = t.scan(servers, now, random, tried)
+		best = t.leastLoaded(servers, now, random, tried)
 	}
 	if best != nil {
-		best.begin()
+		best.beginRequest()
 	}
 	return best
 }
 
-// relativeLoad is requests for each slot.
+// relativeLoad returns the load per slot.
 func (b *Backend) relativeLoad(now time.Time) float64 {
 	return b.Load(now) / float64(max(1, b.Spec.Slots))
 }
 
-func (t *Table) usable(b *Backend, load float64, tried []*Backend) bool {
-	return !b.Leaving() && !b.Ejected() && load < t.options.QueuePerSlot && !contains(tried, b)
+func (t *Table) isUsable(b *Backend, load float64, tried []*Backend) bool {
+	return !b.Leaving() && !b.Ejected() && load < t.options.MaxLoadPerSlot && !contains(tried, b)
 }
 
 func contains(tried []*Backend, b *Backend) bool {
@@ -161,24 +164,24 @@
 	return false
 }
 
-// scan looks at every server, from a random one on, when the sample found none
-// that can take the request.
-func (t *Table) scan(servers []*Backend, now time.Time, random Random, tried []*Backend) *Backend {
+// leastLoaded compares all servers, starting at a random one. It is used when none
+// of the sampled servers can accept the request.
+func (t *Table) leastLoaded(servers []*Backend, now time.Time, random RandomSource, tried []*Backend) *Backend {
 	start := int(random() % uint32(len(servers)))
 	var best *Backend
 	bestLoad := 0.0
 	for i := range servers {
 		b := servers[(start+i)%len(servers)]
-		if load := b.relativeLoad(now); t.usable(b, load, tried) && (best == nil || load < bestLoad) {
+		if load := b.relativeLoad(now); t.isUsable(b, load, tried) && (best == nil || load < bestLoad) {
 			best, bestLoad = b, load
 		}
 	}
 	return best
 }
 
-// dueProbe returns an ejected server whose next try is due, at most one request
-// at a time.
-func (t *Table) dueProbe(servers []*Backend, now time.Time, random Random) *Backend {
+// dueProbe samples one server and returns it if it is ejected and due for a probe.
+// A server has at most one probe in flight.
+func (t *Table) dueProbe(servers []*Backend, now time.Time, random RandomSource) *Backend {
 	b := servers[int(random()%uint32(len(servers)))]
 	until := b.ejectedUntil.Load()
 	if until == 0 || now.UnixNano() < until || b.Leaving() {
@@ -190,36 +193,40 @@
 	return b
 }
 
-// Done ends a request at a server.
+// Done ends a request at a server, and ejects the server or ends its probe as the
+// result requires.
 func (t *Table) Done(b *Backend, took time.Duration, failed bool, now time.Time) {
-	b.end(took, failed)
+	b.endRequest(took, failed)
 	if b.probing.Load() {
 		t.endProbe(b, failed, now)
 		return
 	}
-	if t.bad(b) {
+	if t.shouldEject(b) {
 		t.eject(b, now)
 	}
 }
 
-// Release ends a request that says nothing of the server's health.
+// Release ends a request whose result says nothing about the server's health.
 func (t *Table) Release(b *Backend) {
 	b.inFlight.Add(-1)
 	b.probing.Store(false)
 }
 
-func (t *Table) bad(b *Backend) bool {
+// shouldEject reports whether the server fails too often or is too slow.
+// shouldEject reports whether the server fails too often or is too slow.
+func (t *Table) shouldEject(b *Backend) bool {
 	if b.samples.Load() < t.options.MinSamples || b.Ejected() {
 		return false
 	}
-	if b.Failing() > t.options.EjectFailing {
+	if b.FailureRate() > t.options.EjectFailureRate {
 		return true
 	}
-	return t.slow(b)
+	return t.isSlow(b)
 }
 
-// slow compares with the mean of the other servers' averages.
-func (t *Table) slow(b *Backend) bool {
+// isSlow compares the server's latency with the mean latency of the other servers
+// in the home data centre.
+func (t *Table) isSlow(b *Backend) bool {
 	servers := *t.local.Load()
 	sum, n := 0.0, 0
 	for _, other := range servers {
@@ -228,16 +235,18 @@
 			n++
 		}
 	}
-	return n > 0 && b.Latency() > t.options.EjectSlower*sum/float64(n)
+	return n > 0 && b.Latency() > t.options.EjectLatencyFactor*sum/float64(n)
 }
 
+// eject ejects a server, unless that would exceed MaxEjected.
+// eject ejects a server, unless that would exceed MaxEjected.
 func (t *Table) eject(b *Backend, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if b.Ejected() || float64(t.countEjected()+1) > t.options.MaxEjected*float64(len(t.byID)) {
 		return
 	}
-	b.ejectedUntil.Store(now.Add(t.options.Probe << min(b.ejections.Add(1)-1, 10)).UnixNano())
+	b.ejectedUntil.Store(now.Add(t.options.ProbeInterval << min(b.ejections.Add(1)-1, 10)).UnixNano())
 }
 
 func (t *Table) countEjected() int {
@@ -250,17 +259,18 @@
 	return n
 }
 
-// endProbe puts the server back in use, or aside for longer.
+// endProbe returns the server to use after a successful probe, and ejects it for
+// longer after a failed one.
 func (t *Table) endProbe(b *Backend, failed bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b.probing.Store(false)
 	if failed {
-		pause := min(t.options.Probe<<min(b.ejections.Add(1)-1, 10), t.options.MaxProbe)
+		pause := min(t.options.ProbeInterval<<min(b.ejections.Add(1)-1, 10), t.options.MaxProbeInterval)
 		b.ejectedUntil.Store(now.Add(pause).UnixNano())
 		return
 	}
-	b.failing.Store(0)
+	b.failureRate.Store(0)
 	b.latency.Store(0)
 	b.samples.Store(0)
 	b.ejectedUntil.Store(0)
