--- a/domain/account.go
+++ b/domain/account.go
@@ -12,14 +12,14 @@
 // DataCentre names one data centre of a deployment.
 type DataCentre string
 
-// Guarantee is a shape that an account may reclaim at any time, in one data
-// centre, so that a data centre on its own can honour it.
+// Guarantee is a shape that an account may reclaim at any time. It applies to one
+// data centre, so that an isolated data centre can honour it.
 type Guarantee struct {
-	// DataCentre is where the guarantee holds.
+	// DataCentre is the data centre in which the guarantee applies.
 	DataCentre DataCentre `json:"data_centre"`
-	// Shape is the block of accelerators.
+	// Shape is the guaranteed block of accelerators.
 	Shape Shape `json:"shape"`
-	// Count is how many such blocks are guaranteed; at least 1.
+	// Count is the number of guaranteed blocks; at least 1.
 	Count int `json:"count"`
 }
 
@@ -42,16 +42,16 @@
 	Ceiling int `json:"ceiling,omitempty"`
 	// Guarantees are the shapes that the account may always reclaim.
 	Guarantees []Guarantee `json:"guarantees,omitempty"`
-	// Teams by name; empty means that the account has no teams.
+	// Teams are the account's teams by name; empty means that it has none.
 	Teams map[TeamID]Team `json:"teams,omitempty"`
 	// TokenHashes are the hex SHA-256 hashes of the account's bearer tokens.
-	// Two may be in force at once, so that a token is rotated without a gap.
+	// Two may be valid at once, so that a token can be rotated without a gap.
 	TokenHashes []string `json:"token_hashes"`
-	// RequestsPerSecond bounds the account's requests at one instance.
+	// RequestsPerSecond is the account's rate limit at each instance.
 	RequestsPerSecond float64 `json:"requests_per_second"`
 }
 
-// ClassKind says which pipeline serves a class.
+// ClassKind selects the pipeline that serves a class.
 type ClassKind string
 
 // The kinds of class.
@@ -65,22 +65,22 @@
 // Class is a declared kind of work.
 type Class struct {
 	Kind ClassKind `json:"kind"`
-	// Expectation is the time within which an accepted unit should complete.
+	// Expectation is the time within which an accepted job or request should
+	// complete.
 	Expectation Duration `json:"expectation"`
-	// Idempotent work may be run again after a failure. Work that is not runs
-	// at most once: it is never preempted, and never restarted once it may
-	// have begun.
+	// Idempotent work may be run again after a failure. Other work runs at most
+	// once: it is never preempted, and never restarted once it may have started.
 	Idempotent bool `json:"idempotent"`
-	// Checkpointable gangs save their progress when they are preempted, and
-	// continue from there.
+	// Checkpointable gangs save their progress when they are preempted, and resume
+	// from it.
 	Checkpointable bool `json:"checkpointable,omitempty"`
 	// Grace is the time a gang gets to checkpoint before it is stopped.
 	Grace Duration `json:"grace,omitempty"`
-	// Priority orders classes; higher goes first, and is shed last.
+	// Priority orders classes; a higher one is served first and shed last.
 	Priority int `json:"priority"`
-	// Urgent gangs start within seconds, at the cost of borrowers.
+	// Urgent gangs start within seconds, by preempting borrowers.
 	Urgent bool `json:"urgent,omitempty"`
 }
 
-// Preemptible tells whether a gang of the class may be stopped for another.
+// Preemptible reports whether a gang of the class may be stopped for another.
 func (c Class) Preemptible() bool { return c.Idempotent }
--- a/domain/job.go
+++ b/domain/job.go
@@ -5,14 +5,14 @@
 // MaxGang is the largest number of tasks that one gang may have.
 const MaxGang = 128
 
-// JobID identifies a job in its whole deployment; the caller chooses it, so
-// that a repeated submission is recognised.
+// JobID identifies a job within its deployment. The caller chooses it, so that a
+// repeated submission is recognised.
 type JobID string
 
-// Adjacency says how close together the tasks of a gang must be.
+// Adjacency bounds the distance between the tasks of a gang.
 type Adjacency string
 
-// The adjacencies, from the strictest to none.
+// Adjacencies, strictest first.
 const (
 	SameWorker       Adjacency = "same-worker"
 	SameRack         Adjacency = "same-rack"
@@ -20,7 +20,7 @@
 	Anywhere         Adjacency = "anywhere"
 )
 
-// Valid tells whether a is one of the declared adjacencies.
+// Valid reports whether a is one of the defined adjacencies.
 func (a Adjacency) Valid() bool {
 	switch a {
 	case SameWorker, SameRack, NeighbouringRack, Anywhere:
@@ -29,11 +29,11 @@
 	return false
 }
 
-// Shape is what a gang needs, and what a guarantee promises.
+// Shape describes the resources that a gang needs or that a guarantee covers.
 type Shape struct {
-	// Tasks is the size of the gang, 1 to MaxGang.
+	// Tasks is the number of tasks of the gang, 1 to MaxGang.
 	Tasks int `json:"tasks"`
-	// PerTask is what each task needs on its worker.
+	// PerTask are the resources that each task needs on its worker.
 	PerTask Resources `json:"per_task"`
 	// Adjacency bounds the distance between tasks; empty means Anywhere.
 	Adjacency Adjacency `json:"adjacency,omitempty"`
@@ -45,7 +45,7 @@
 // Total returns the resources of the whole shape.
 func (s Shape) Total() Resources { return s.PerTask.Times(s.Tasks) }
 
-// JobState is where a job is on its way.
+// JobState is a state in the life cycle of a job.
 type JobState string
 
 // The states of a job. Completed, Failed, Cancelled and Unknown are final.
@@ -56,12 +56,12 @@
 	JobCompleted JobState = "completed"
 	JobFailed    JobState = "failed"
 	JobCancelled JobState = "cancelled"
-	// JobUnknown ends a job that must not run twice and whose only start can't
-	// be proved to have finished.
+	// JobUnknown is the final state of a job that must not run twice and whose only
+	// start cannot be proved to have finished.
 	JobUnknown JobState = "outcome-unknown"
 )
 
-// Final tells whether no further change follows.
+// Final reports whether the state never changes again.
 func (s JobState) Final() bool {
 	switch s {
 	case JobCompleted, JobFailed, JobCancelled, JobUnknown:
@@ -70,7 +70,7 @@
 	return false
 }
 
-// Job is a gang job as accepted.
+// Job is an accepted gang job.
 type Job struct {
 	ID         JobID      `json:"id"`
 	Account    AccountID  `json:"account"`
@@ -78,25 +78,25 @@
 	Class      ClassName  `json:"class"`
 	DataCentre DataCentre `json:"data_centre"`
 	Shape      Shape      `json:"shape"`
-	// Estimate is the run time that the caller declares; it may be far off.
+	// Estimate is the run time that the caller declares; it may be inaccurate.
 	Estimate Duration `json:"estimate"`
-	// Submitted is the acceptor's wall clock, for display and ageing only;
-	// it never decides an order that safety needs.
+	// Submitted is the wall-clock time at the accepting instance. It is used for
+	// display and ageing only, never for an order on which safety depends.
 	Submitted time.Time `json:"submitted"`
-	// Payload is passed on to every task as it is.
+	// Payload is passed to every task unchanged.
 	Payload string `json:"payload,omitempty"`
 }
 
-// Incarnation names one attempt to run a job's gang. Attempts of one job count
-// up. Holder is the planner that began the attempt, so that two planners that
-// know nothing of each other never use the same name.
+// Incarnation identifies one attempt to run a job's gang. Attempt numbers of a job
+// increase. Holder is the planner that started the attempt, so that two planners
+// that are unaware of each other never use the same identifier.
 type Incarnation struct {
 	Job     JobID      `json:"job"`
 	Attempt uint64     `json:"attempt"`
 	Holder  InstanceID `json:"holder"`
 }
 
-// Newer tells whether i is a later attempt than o at the same job.
+// Newer reports whether i is a later attempt than o at the same job.
 func (i Incarnation) Newer(o Incarnation) bool {
 	if i.Attempt != o.Attempt {
 		return i.Attempt > o.Attempt
@@ -104,13 +104,13 @@
 	return i.Holder > o.Holder
 }
 
-// Assignment puts Tasks tasks of a gang on one worker.
+// Assignment places Tasks tasks of a gang on one worker.
 type Assignment struct {
 	Worker WorkerID `json:"worker"`
 	Tasks  int      `json:"tasks"`
 }
 
-// Placement is the whole gang's assignment, one entry a worker.
+// Placement is the assignment of a complete gang, one entry per worker.
 type Placement []Assignment
 
 // Tasks returns the number of tasks placed.
--- a/domain/refusal.go
+++ b/domain/refusal.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reason is the stable code of a refusal. It is the label of a counter, so the
-// set is closed and holds no identifiers.
+// Reason is the stable code of a refusal. It is used as a metric label, so the set
+// is closed and contains no identifiers.
 type Reason string
 
-// The reasons for which work is refused or a request ends without an answer.
+// Reasons for which work is refused or a request ends without an answer.
 const (
 	ReasonInvalid          Reason = "invalid"
 	ReasonUnauthenticated  Reason = "unauthenticated"
@@ -35,15 +35,15 @@
 	ReasonAnswerIncomplete Reason = "answer-incomplete"
 )
 
-// Outcome says what is known of the refused work.
+// Outcome states whether refused work may have run.
 type Outcome string
 
-// What a refusal claims about the work.
+// Outcomes of refused work.
 const (
-	// NotRun is claimed only where no part of the work can have started or
-	// can start later.
+	// NotRun is used only if no part of the work can have started or can start
+	// later.
 	NotRun Outcome = "not-run"
-	// Unknown is claimed wherever NotRun can't be proved.
+	// Unknown is used whenever NotRun cannot be proved.
 	Unknown Outcome = "unknown"
 )
 
@@ -51,13 +51,14 @@
 type Refusal struct {
 	Reason  Reason  `json:"reason"`
 	Outcome Outcome `json:"outcome"`
-	// Field is the input that was wrong, where one was.
+	// Field is the invalid input field, if there is one.
 	Field string `json:"field,omitempty"`
-	// Message says what was wrong.
+	// Message describes what was wrong.
 	Message string `json:"message"`
-	// Remedy says what to do next.
+	// Remedy describes what to do next.
 	Remedy string `json:"remedy"`
-	// RetryAfter is when to come back; zero means that repeating won't help.
+	// RetryAfter is the time after which to retry; zero means that a retry will not
+	// help.
 	RetryAfter Duration `json:"retry_after,omitempty"`
 }
 
@@ -70,27 +71,27 @@
 	return fmt.Sprintf("%s%s: %s; %s", r.Reason, field, r.Message, r.Remedy)
 }
 
-// Refuse makes a refusal of work that did not run.
+// Refuse returns a refusal of work that did not run.
 func Refuse(reason Reason, field, message, remedy string) *Refusal {
 	return &Refusal{Reason: reason, Outcome: NotRun, Field: field, Message: message, Remedy: remedy}
 }
 
-// After returns a copy of the refusal that says when to come back.
+// After returns a copy of the refusal with RetryAfter set.
 func (r Refusal) After(d time.Duration) *Refusal {
 	r.RetryAfter = Duration(d)
 	return &r
 }
 
-// OutcomeUnknown makes the refusal of work that may have run.
+// OutcomeUnknown returns a refusal of work that may have run.
 func OutcomeUnknown(reason Reason, message string) *Refusal {
 	return &Refusal{
 		Reason: reason, Outcome: Unknown, Message: message,
-		Remedy: "do not assume either way: look up the effect, or ask again with the same id for the first answer",
+		Remedy: "it may or may not have taken effect: check its effect, or retry with the same id to get the first answer",
 	}
 }
 
-// AsRefusal finds the refusal in err. An error of any other kind becomes a
-// refusal whose outcome is unknown, because nothing proves that it is not.
+// AsRefusal returns the refusal in err's chain. Any other error becomes a refusal
+// with outcome Unknown, because nothing proves that the work did not run.
 func AsRefusal(err error) *Refusal {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
--- a/domain/resources.go
+++ b/domain/resources.go
@@ -1,6 +1,6 @@
 package domain
 
-// Resources is an amount of what a worker has and a task needs.
+// Resources is an amount of resources that a worker has or a task needs.
 type Resources struct {
 	// Accelerators is the number of whole accelerators.
 	Accelerators int `json:"accelerators"`
@@ -15,7 +15,7 @@
 	return Resources{r.Accelerators + o.Accelerators, r.CPU + o.CPU, r.MemoryMiB + o.MemoryMiB}
 }
 
-// Sub returns r - o; components may become negative.
+// Sub returns r - o; its components may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.Accelerators - o.Accelerators, r.CPU - o.CPU, r.MemoryMiB - o.MemoryMiB}
 }
@@ -25,21 +25,22 @@
 	return Resources{r.Accelerators * n, r.CPU * n, r.MemoryMiB * n}
 }
 
-// Fits tells whether r is available in o, component by component.
+// Fits reports whether r fits into o in every component.
 func (r Resources) Fits(o Resources) bool {
 	return r.Accelerators <= o.Accelerators && r.CPU <= o.CPU && r.MemoryMiB <= o.MemoryMiB
 }
 
-// Count returns how many times unit fits into r, at most limit. Components
-// that unit does not ask for do not bound the result.
+// Count returns how many times unit fits into r, at most limit. Components that
+// unit does not need do not limit the result.
 func (r Resources) Count(unit Resources, limit int) int {
 	n := limit
-	n = boundBy(n, r.Accelerators, unit.Accelerators)
-	n = boundBy(n, r.CPU, unit.CPU)
-	return boundBy(n, r.MemoryMiB, unit.MemoryMiB)
+	n = limitBy(n, r.Accelerators, unit.Accelerators)
+	n = limitBy(n, r.CPU, unit.CPU)
+	return limitBy(n, r.MemoryMiB, unit.MemoryMiB)
 }
 
-func boundBy(n, have, need int) int {
+// limitBy returns n, limited by how many times need fits into have.
+func limitBy(n, have, need int) int {
 	if have < 0 {
 		return 0
 	}
@@ -49,8 +50,8 @@
 	return min(n, have/need)
 }
 
-// IsZero tells whether nothing is asked for.
+// IsZero reports whether all components are zero.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
-// Negative tells whether any component is below zero.
+// Negative reports whether any component is negative.
 func (r Resources) Negative() bool { return r.Accelerators < 0 || r.CPU < 0 || r.MemoryMiB < 0 }
--- a/domain/worker.go
+++ b/domain/worker.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// WorkerID names a worker, the machine that has accelerators.
+// WorkerID names a worker, a machine with accelerators.
 type WorkerID string
 
 // RackID names a rack of workers.
 type RackID string
 
-// InstanceID names one run of an instance; a restarted instance takes a new one.
+// InstanceID names one run of an instance; a restarted instance has a new ID.
 type InstanceID string
 
 // Worker is a worker as the platform describes it.
@@ -16,7 +16,7 @@
 	ID         WorkerID   `json:"id"`
 	DataCentre DataCentre `json:"data_centre"`
 	Rack       RackID     `json:"rack"`
-	// Row is the rack's position; racks whose rows differ by one are neighbours.
+	// Row is the rack's position; racks whose rows differ by one are neighbouring.
 	Row      int       `json:"row"`
 	Capacity Resources `json:"capacity"`
 	// Address is the IP and port of the worker's agent.
@@ -27,11 +27,12 @@
 type BackendServer struct {
 	ID         string     `json:"id"`
 	DataCentre DataCentre `json:"data_centre"`
-	// Address is its IP and port.
+	// Address is the server's IP and port.
 	Address string `json:"address"`
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int `json:"slots"`
-	// Leaving is set once the platform or the server itself says so.
+	// Leaving is set once the platform or the server itself reports that the server
+	// is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -53,5 +54,5 @@
 	return strings.Compare(string(t.Holder), string(o.Holder))
 }
 
-// Less tells whether t is lower than o.
+// Less reports whether t is lower than o.
 func (t Token) Less(o Token) bool { return t.Compare(o) < 0 }
