--- a/configuration/declarations.go
+++ b/configuration/declarations.go
@@ -1,6 +1,6 @@
-// Package configuration holds what operators declare: client accounts with
-// their guaranteed shapes, teams, and classes. It checks declarations as a
-// whole and folds the log's changes into versions that only go up.
+// Package configuration contains the declarations of operators: client accounts
+// with their guaranteed shapes, teams, and classes. It validates declarations as a
+// whole and applies the changes in the log as versions that only increase.
 package configuration
 
 import (
@@ -18,32 +18,32 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Declarations are all that operators declare for one deployment.
+// Declarations are the operators' declarations for one deployment.
 type Declarations struct {
-	// Accounts by id.
+	// Accounts are the client accounts by id.
 	Accounts map[domain.AccountID]domain.ClientAccount `json:"accounts"`
-	// Classes by name, of requests and of jobs.
+	// Classes are the classes of requests and jobs by name.
 	Classes map[domain.ClassName]domain.Class `json:"classes"`
 	// OperatorTokenHashes are the hex SHA-256 hashes of operators' tokens.
 	OperatorTokenHashes []string `json:"operator_token_hashes"`
 }
 
-// Clone returns a deep copy, by way of the wire form.
+// Clone returns a deep copy, made by encoding to JSON and decoding.
 func (d Declarations) Clone() Declarations {
 	raw, err := json.Marshal(d)
 	if err != nil {
-		panic(errors.NewAssertionErrorWithWrappedErrf(err, "declarations always marshal"))
+		panic(errors.NewAssertionErrorWithWrappedErrf(err, "marshal declarations"))
 	}
 	var out Declarations
 	if err := json.Unmarshal(raw, &out); err != nil {
-		panic(errors.NewAssertionErrorWithWrappedErrf(err, "declarations always unmarshal"))
+		panic(errors.NewAssertionErrorWithWrappedErrf(err, "unmarshal declarations"))
 	}
 	return out
 }
 
-// Problem is one mistake in a declaration or a settings file.
+// Problem is one error in a declaration or a settings file.
 type Problem struct {
-	// File and Line are where it stands; Line is 0 where it is not known.
+	// File and Line locate the error; Line is 0 if it is not known.
 	File string `json:"file,omitempty"`
 	Line int    `json:"line,omitempty"`
 	// Field is the path of the field, such as "accounts.tyseley.weight".
@@ -61,10 +61,10 @@
 	return strings.TrimPrefix(fmt.Sprintf("%s: %s: %s; %s", where, p.Field, p.Message, p.Remedy), ": ")
 }
 
-// Problems is every mistake found in one run.
+// Problems are all errors that one validation found.
 type Problems []Problem
 
-// Error implements error, one problem a line.
+// Error implements error, with one line per problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -81,13 +81,13 @@
 	return p
 }
 
-// DecodeStrict reads JSON with comments into target and refuses unknown fields.
-// The problem it returns carries the line of the mistake.
+// DecodeStrict decodes JSON with comments into target and rejects unknown fields.
+// The returned problem contains the line of the error; it is nil on success.
 func DecodeStrict(file string, raw []byte, target any) *Problem {
 	standard, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
 		return &Problem{File: file, Line: lineOfSyntaxError(err), Field: "-", Message: err.Error(),
-			Remedy: "mend the JSON; comments and trailing commas are allowed"}
+			Remedy: "correct the JSON; comments and trailing commas are allowed"}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(standard))
 	decoder.DisallowUnknownFields()
@@ -118,14 +118,15 @@
 	}
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		problem.Field = strings.Trim(name, `"`)
-		problem.Remedy = "remove the field, or mend its spelling"
+		problem.Remedy = "remove the field, or correct its spelling"
 		offset = int64(bytes.Index(raw, []byte(name)))
 	}
 	problem.Line = LineAt(raw, offset)
 	return problem
 }
 
-// LineAt returns the line, from 1, of an offset; 0 when it lies outside.
+// LineAt returns the line number, counted from 1, of an offset, or 0 if the offset
+// is out of range.
 func LineAt(raw []byte, offset int64) int {
 	if offset < 0 || offset > int64(len(raw)) {
 		return 0
@@ -133,13 +134,13 @@
 	return 1 + bytes.Count(raw[:offset], []byte("\n"))
 }
 
-// LoadDirectory reads every *.json file of a directory of declarations and
-// merges them. A name that two files declare is a problem.
+// LoadDirectory reads and merges all *.json files of a directory of declarations.
+// It reports a problem for a name that two files declare.
 func LoadDirectory(directory string) (Declarations, error) {
 	files, err := filepath.Glob(filepath.Join(directory, "*.json"))
 	if err != nil || len(files) == 0 {
 		return Declarations{}, Problems{{File: directory, Field: "-", Message: "no declarations found",
-			Remedy: "name a directory that holds *.json files"}}
+			Remedy: "specify a directory that contains *.json files"}}
 	}
 	sort.Strings(files)
 	merged := Declarations{
@@ -158,27 +159,27 @@
 	if err != nil {
 		return Problems{{File: file, Field: "-", Message: err.Error(), Remedy: "make the file readable"}}
 	}
-	var one Declarations
-	if problem := DecodeStrict(file, raw, &one); problem != nil {
+	var declarations Declarations
+	if problem := DecodeStrict(file, raw, &declarations); problem != nil {
 		return Problems{*problem}
 	}
 	var problems Problems
-	for id, account := range one.Accounts {
-		if _, twice := merged.Accounts[id]; twice {
-			problems = append(problems, declaredTwice(file, "accounts."+string(id)))
+	for id, account := range declarations.Accounts {
+		if _, duplicate := merged.Accounts[id]; duplicate {
+			problems = append(problems, duplicateDeclaration(file, "accounts."+string(id)))
 		}
 		merged.Accounts[id] = account
 	}
-	for name, class := range one.Classes {
-		if _, twice := merged.Classes[name]; twice {
-			problems = append(problems, declaredTwice(file, "classes."+string(name)))
+	for name, class := range declarations.Classes {
+		if _, duplicate := merged.Classes[name]; duplicate {
+			problems = append(problems, duplicateDeclaration(file, "classes."+string(name)))
 		}
 		merged.Classes[name] = class
 	}
-	merged.OperatorTokenHashes = append(merged.OperatorTokenHashes, one.OperatorTokenHashes...)
+	merged.OperatorTokenHashes = append(merged.OperatorTokenHashes, declarations.OperatorTokenHashes...)
 	return problems
 }
 
-func declaredTwice(file, field string) Problem {
-	return Problem{File: file, Field: field, Message: "declared in two files", Remedy: "keep one of the two"}
+func duplicateDeclaration(file, field string) Problem {
+	return Problem{File: file, Field: field, Message: "declared in two files", Remedy: "remove one of the two declarations"}
 }
--- a/configuration/fold.go
+++ b/configuration/fold.go
@@ -8,15 +8,15 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// Version counts the accepted changes of a deployment's configuration.
+// Version is the number of accepted changes of a deployment's configuration.
 type Version uint64
 
 // KindChange is the record kind of a Change in the log.
 const KindChange = "configuration-change"
 
-// Change sets and deletes entries, made against one version. Only what
-// changes is carried, so that a change costs a few hundred bytes however much
-// is declared.
+// Change sets and deletes entries relative to one version. It contains only the
+// changed entries, so that a change takes a few hundred bytes whatever the size of
+// the declarations.
 type Change struct {
 	ID       string                                     `json:"id"`
 	Base     Version                                    `json:"base"`
@@ -27,12 +27,12 @@
 	OperatorTokenHashes []string `json:"operator_token_hashes,omitempty"`
 }
 
-// Empty tells whether the change changes nothing.
+// Empty reports whether the change has no entries.
 func (c Change) Empty() bool {
 	return len(c.Accounts) == 0 && len(c.Classes) == 0 && len(c.OperatorTokenHashes) == 0
 }
 
-// Apply returns the declarations with the change made. A nil entry deletes.
+// Apply returns the declarations with the change applied. A nil entry deletes.
 func (c Change) Apply(d Declarations) Declarations {
 	out := Declarations{
 		Accounts:            patch(d.Accounts, c.Accounts),
@@ -45,7 +45,8 @@
 	return out
 }
 
-// patch copies the map, so that a snapshot handed out earlier never changes.
+// patch returns a changed copy of the map, so that snapshots returned earlier never
+// change.
 func patch[K comparable, V any](old map[K]V, change map[K]*V) map[K]V {
 	out := make(map[K]V, len(old)+len(change))
 	for key, value := range old {
@@ -61,13 +62,13 @@
 	return out
 }
 
-// Diff returns the change that leads from one set of declarations to another.
+// Diff returns the change that turns one set of declarations into another.
 func Diff(from, to Declarations) Change {
 	change := Change{
 		Accounts: diffMap(from.Accounts, to.Accounts),
 		Classes:  diffMap(from.Classes, to.Classes),
 	}
-	if !sameJSON(from.OperatorTokenHashes, to.OperatorTokenHashes) {
+	if !equalJSON(from.OperatorTokenHashes, to.OperatorTokenHashes) {
 		change.OperatorTokenHashes = to.OperatorTokenHashes
 	}
 	return change
@@ -76,7 +77,7 @@
 func diffMap[K comparable, V any](from, to map[K]V) map[K]*V {
 	out := map[K]*V{}
 	for key, value := range to {
-		if old, ok := from[key]; !ok || !sameJSON(old, value) {
+		if old, ok := from[key]; !ok || !equalJSON(old, value) {
 			out[key] = &value
 		}
 	}
@@ -91,27 +92,27 @@
 	return out
 }
 
-func sameJSON(a, b any) bool {
+func equalJSON(a, b any) bool {
 	rawA, errA := json.Marshal(a)
 	rawB, errB := json.Marshal(b)
 	return errA == nil && errB == nil && string(rawA) == string(rawB)
 }
 
-// Snapshot is the configuration at one version. It is never changed.
+// Snapshot is the configuration at one version. It is immutable.
 type Snapshot struct {
 	Version Version `json:"version"`
-	// Offset is the log offset that follows the last record folded in.
+	// Offset is the log offset after the last applied record.
 	Offset       int64        `json:"offset"`
 	Declarations Declarations `json:"declarations"`
-	// LastChange is the id of the change that made this version.
+	// LastChange is the id of the change that created this version.
 	LastChange string `json:"last_change,omitempty"`
-	// Operator is who made it.
+	// Operator is the operator who made that change.
 	Operator string `json:"operator,omitempty"`
 }
 
-// Store holds the newest snapshot that an instance knows. Versions only go up,
-// whatever order log records, snapshots and peers' words arrive in. Safe for
-// concurrent use.
+// Store contains the newest snapshot at an instance. Versions only increase, in
+// whatever order records of the log and snapshots from peers arrive. It is safe
+// for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	current  Snapshot
@@ -119,20 +120,21 @@
 	accepted map[string]Outcome
 	order    []outcomeKey
 	watchers []chan struct{}
-	// history holds past snapshots, oldest first.
+	// history contains the latest snapshots, oldest first.
 	history []Snapshot
 }
 
-// Outcome is what became of one change in the log's order.
+// Outcome is the result of applying one change in log order.
 type Outcome struct {
 	Accepted bool
-	// Version is the one that the change made, or that beat it.
+	// Version is the version that the change created or, if it was rejected, the
+	// version that it conflicts with.
 	Version Version
 }
 
-// keptOutcomes bounds how many outcomes a store remembers for operators who
-// ask again after a lost answer.
-const keptOutcomes = 1024
+// maxOutcomes is the number of outcomes that a store keeps for operators that retry
+// after a lost answer.
+const maxOutcomes = 1024
 
 // NewStore returns a store at version 0.
 func NewStore() *Store {
@@ -146,45 +148,45 @@
 	return s.current
 }
 
-// Fold takes the change at one offset of the log. The log's order decides:
-// a change counts only when its base is the version before it. The result
-// depends on nothing but the version and the declarations before, which
-// snapshots carry, so that every instance folds the same records to the same
-// versions wherever it began to read. A change that was accepted and stands in
-// the log again has a base that is no longer met. Offsets already folded are
-// passed over.
+// Fold applies the change at one offset of the log. A change is accepted only if
+// its base is the current version, so the log order decides between concurrent
+// changes. The result depends only on the preceding version and declarations,
+// which snapshots contain, so that every instance derives the same versions from
+// the same records, wherever it started to read. A change that was accepted and
+// appears in the log again conflicts, because its base is no longer current.
+// Offsets that are already applied are skipped.
 func (s *Store) Fold(offset int64, change Change) Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if offset < s.current.Offset {
-		return s.known(change.ID, change.Base, Outcome{Version: s.current.Version})
+		return s.lookupOutcome(change.ID, change.Base, Outcome{Version: s.current.Version})
 	}
 	s.advance(offset)
-	outcome := s.judge(change)
+	outcome := s.decide(change)
 	if outcome.Accepted {
 		s.current.Version = outcome.Version
 		s.current.Declarations = change.Apply(s.current.Declarations)
 		s.current.LastChange = change.ID
 		s.current.Operator = change.Operator
-		s.changed()
+		s.addVersion()
 	}
-	s.remember(change, outcome)
-	return s.known(change.ID, change.Base, outcome)
+	s.recordOutcome(change, outcome)
+	return s.lookupOutcome(change.ID, change.Base, outcome)
 }
 
-// known returns the remembered outcome of a change: its acceptance under
-// whatever base, else what became of it under this one.
-func (s *Store) known(id string, base Version, otherwise Outcome) Outcome {
+// lookupOutcome returns the recorded outcome of a change: its acceptance under any
+// base, otherwise its outcome under this base, otherwise fallback.
+func (s *Store) lookupOutcome(id string, base Version, fallback Outcome) Outcome {
 	if accepted, ok := s.accepted[id]; ok {
 		return accepted
 	}
 	if outcome, ok := s.outcomes[outcomeKey{id, base}]; ok {
 		return outcome
 	}
-	return otherwise
+	return fallback
 }
 
-// outcomeKey is a change under one base; the same id may be tried again under a
+// outcomeKey identifies a change under one base; the same id may be retried under a
 // newer base after a conflict.
 type outcomeKey struct {
 	id   string
@@ -195,54 +197,56 @@
 	s.current.Offset = max(s.current.Offset, offset+1)
 }
 
-// judge looks at the base alone. The instance that took the change has checked
-// the declarations that follow from this base; checking again here would let
-// daemons of different versions fold the same log differently.
-func (s *Store) judge(change Change) Outcome {
+// decide accepts or rejects a change by its base alone. The instance that received
+// the change has validated the resulting declarations; validating them again here
+// could make instances of different software versions derive different
+// configurations from the same log.
+func (s *Store) decide(change Change) Outcome {
 	if change.Base != s.current.Version {
 		return Outcome{Version: s.current.Version}
 	}
 	return Outcome{Accepted: true, Version: s.current.Version + 1}
 }
 
-func (s *Store) remember(change Change, outcome Outcome) {
+func (s *Store) recordOutcome(change Change, outcome Outcome) {
 	key := outcomeKey{change.ID, change.Base}
 	s.outcomes[key] = outcome
 	if outcome.Accepted {
 		s.accepted[change.ID] = outcome
 	}
 	s.order = append(s.order, key)
-	if len(s.order) > keptOutcomes {
+	if len(s.order) > maxOutcomes {
 		delete(s.outcomes, s.order[0])
 		delete(s.accepted, s.order[0].id)
 		s.order = s.order[1:]
 	}
 }
 
-// Adopt takes a snapshot from a peer or the log. It is kept only when it is
-// newer; the result says whether it was.
+// Adopt replaces the current snapshot by one from a peer or the log if that is
+// newer, and reports whether it did.
 func (s *Store) Adopt(snapshot Snapshot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if snapshot.Version <= s.current.Version {
 		return false
 	}
-	// The offset moves with the version: records below it are part of the
-	// snapshot, and Fold passes them over.
+	// The offset is replaced with the version: the snapshot includes the records
+	// below it, and Fold skips them.
 	s.current = snapshot
 	if snapshot.LastChange != "" {
-		s.remember(Change{ID: snapshot.LastChange, Base: snapshot.Version - 1}, Outcome{Accepted: true, Version: snapshot.Version})
+		s.recordOutcome(Change{ID: snapshot.LastChange, Base: snapshot.Version - 1}, Outcome{Accepted: true, Version: snapshot.Version})
 	}
-	s.changed()
+	s.addVersion()
 	return true
 }
 
-// keptHistory bounds the versions that can be looked up and rolled back to.
-const keptHistory = 100
+// maxHistory is the number of versions that can be looked up and rolled back to.
+const maxHistory = 100
 
-func (s *Store) changed() {
+// addVersion adds the current snapshot to the history and notifies the watchers.
+func (s *Store) addVersion() {
 	s.history = append(s.history, s.current)
-	if len(s.history) > keptHistory {
+	if len(s.history) > maxHistory {
 		s.history = s.history[1:]
 	}
 	s.notify()
@@ -259,16 +263,16 @@
 	return out
 }
 
-// Outcome returns what became of a change, when it has been folded.
+// Outcome returns the outcome of a change, and whether it is known.
 func (s *Store) Outcome(id string, base Version) (Outcome, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	none := Outcome{Version: noVersion}
-	outcome := s.known(id, base, none)
+	outcome := s.lookupOutcome(id, base, none)
 	return outcome, outcome.Version != noVersion
 }
 
-// noVersion is none that a fold can reach.
+// noVersion is a version that is never reached.
 const noVersion = ^Version(0)
 
 // Changed returns a channel that is closed at the next change of version.
@@ -287,8 +291,8 @@
 	s.watchers = nil
 }
 
-// FoldEntry folds an entry of the configuration stream. Other kinds, and
-// changes that can't be read, are passed over by every instance alike.
+// FoldEntry applies an entry of the configuration stream. Every instance skips
+// records of other kinds and changes that cannot be decoded, so that all agree.
 func (s *Store) FoldEntry(e port.Entry) Outcome {
 	var change Change
 	if e.Record.Kind != KindChange || json.Unmarshal(e.Record.Data, &change) != nil {
--- a/configuration/fold_test.go
+++ b/configuration/fold_test.go
@@ -22,8 +22,8 @@
 	return &domain.ClientAccount{Weight: weight, RequestsPerSecond: 1, TokenHashes: []string{someHash}}
 }
 
-// drawChange makes a change against any version, some of them stale, some of
-// them not valid.
+// drawChange generates a change against any version; some are stale, and some are
+// invalid.
 func drawChange(t *rapid.T, n int) Change {
 	return Change{
 		ID: fmt.Sprint("c", rapid.IntRange(0, n).Draw(t, "id")), Base: Version(rapid.IntRange(0, 4).Draw(t, "base")),
@@ -34,78 +34,79 @@
 	}
 }
 
-// peer is one instance: a store, and how far it has read the log.
+// peer is one instance: its store, the next log offset to read, and the versions
+// that were observed.
 type peer struct {
-	store *Store
-	read  int
-	seen  []Version
+	store      *Store
+	nextOffset int
+	versions   []Version
 }
 
-// driveFold lets instances read one log at their own pace, repeat reads, lose
-// their memory, and adopt each other's snapshots in any order. adopt is
-// replaced by mutants.
-func driveFold(t *rapid.T, adopt func(*Store, Snapshot) bool) {
+// checkStoreProperties simulates instances that read one log at different speeds,
+// repeat reads, restart without state, and adopt each other's snapshots in any
+// order. Mutants replace adopt.
+func checkStoreProperties(t *rapid.T, adopt func(*Store, Snapshot) bool) {
 	var log []Change
-	truth := NewStore()
+	reference := NewStore()
 	peers := []*peer{{store: NewStore()}, {store: NewStore()}, {store: NewStore()}}
-	var kept []Snapshot
-	any := func(t *rapid.T) *peer { return peers[rapid.IntRange(0, len(peers)-1).Draw(t, "peer")] }
+	var snapshots []Snapshot
+	anyPeer := func(t *rapid.T) *peer { return peers[rapid.IntRange(0, len(peers)-1).Draw(t, "peer")] }
 	fold := func(p *peer) {
-		if p.read < len(log) {
-			p.store.Fold(int64(p.read), log[p.read])
-			p.read++
+		if p.nextOffset < len(log) {
+			p.store.Fold(int64(p.nextOffset), log[p.nextOffset])
+			p.nextOffset++
 		}
 	}
 	t.Repeat(map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
 			for i, p := range peers {
 				now := p.store.Current()
-				if n := len(p.seen); n > 0 && now.Version < p.seen[n-1] {
-					t.Fatalf("instance %d went back from version %d to %d", i, p.seen[n-1], now.Version)
+				if n := len(p.versions); n > 0 && now.Version < p.versions[n-1] {
+					t.Fatalf("instance %d went from version %d back to %d", i, p.versions[n-1], now.Version)
 				}
-				p.seen = append(p.seen, now.Version)
-				if now.Version > truth.Current().Version {
-					t.Fatalf("instance %d is at version %d, the log has %d", i, now.Version, truth.Current().Version)
+				p.versions = append(p.versions, now.Version)
+				if now.Version > reference.Current().Version {
+					t.Fatalf("instance %d is at version %d, but the log ends at version %d", i, now.Version, reference.Current().Version)
 				}
-				if now.Version == truth.Current().Version {
-					if d := cmp.Diff(truth.Current().Declarations, now.Declarations); d != "" {
-						t.Fatalf("instance %d differs at version %d: %s", i, now.Version, d)
+				if now.Version == reference.Current().Version {
+					if d := cmp.Diff(reference.Current().Declarations, now.Declarations); d != "" {
+						t.Fatalf("instance %d has other declarations at version %d: %s", i, now.Version, d)
 					}
 				}
 			}
 		},
 		"append": func(t *rapid.T) {
 			log = append(log, drawChange(t, len(log)))
-			truth.Fold(int64(len(log)-1), log[len(log)-1])
+			reference.Fold(int64(len(log)-1), log[len(log)-1])
 		},
-		"read": func(t *rapid.T) { fold(any(t)) }, "read on": func(t *rapid.T) { fold(any(t)) },
+		"read": func(t *rapid.T) { fold(anyPeer(t)) }, "read on": func(t *rapid.T) { fold(anyPeer(t)) },
 		"read again": func(t *rapid.T) {
-			p := any(t)
-			p.read = rapid.IntRange(0, p.read).Draw(t, "from")
+			p := anyPeer(t)
+			p.nextOffset = rapid.IntRange(0, p.nextOffset).Draw(t, "from")
 		},
-		"keep a snapshot": func(t *rapid.T) { kept = append(kept, any(t).store.Current()) },
+		"keep a snapshot": func(t *rapid.T) { snapshots = append(snapshots, anyPeer(t).store.Current()) },
 		"adopt": func(t *rapid.T) {
-			if len(kept) == 0 {
+			if len(snapshots) == 0 {
 				t.Skip("no snapshot")
 			}
-			p := any(t)
-			adopt(p.store, rapid.SampledFrom(kept).Draw(t, "snapshot"))
-			p.read = max(p.read, min(len(log), int(p.store.Current().Offset)))
+			p := anyPeer(t)
+			adopt(p.store, rapid.SampledFrom(snapshots).Draw(t, "snapshot"))
+			p.nextOffset = max(p.nextOffset, min(len(log), int(p.store.Current().Offset)))
 		},
-		"replace": func(t *rapid.T) { *any(t) = peer{store: NewStore()} },
+		"replace": func(t *rapid.T) { *anyPeer(t) = peer{store: NewStore()} },
 	})
 	for i, p := range peers {
-		for p.read < len(log) {
+		for p.nextOffset < len(log) {
 			fold(p)
 		}
-		if got, want := p.store.Current().Version, truth.Current().Version; got != want {
-			t.Fatalf("instance %d ends at version %d, the log has %d", i, got, want)
+		if got, want := p.store.Current().Version, reference.Current().Version; got != want {
+			t.Fatalf("instance %d ends at version %d, but the log ends at version %d", i, got, want)
 		}
 	}
 }
 
 func TestVersionsOnlyGoUpAndConvergeInAnyOrder(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { driveFold(t, (*Store).Adopt) })
+	rapid.Check(t, func(t *rapid.T) { checkStoreProperties(t, (*Store).Adopt) })
 }
 
 func TestVersionPropertyCatchesARevertedVersion(t *testing.T) {
@@ -115,8 +116,8 @@
 		s.current = snapshot
 		return true
 	}
-	if !seeded.Catches(t, func(t *rapid.T) { driveFold(t, revert) }) {
-		t.Fatal("the property does not notice that versions go back")
+	if !seeded.Catches(t, func(t *rapid.T) { checkStoreProperties(t, revert) }) {
+		t.Fatal("the property does not detect that a version decreases")
 	}
 }
 
@@ -128,14 +129,14 @@
 	first := s.Fold(0, change("first", 1))
 	second := s.Fold(1, change("second", 2))
 	if !first.Accepted || first.Version != 1 {
-		t.Errorf("first: %+v", first)
+		t.Errorf("outcome of the first change: %+v", first)
 	}
 	if second.Accepted || second.Version != 1 {
-		t.Errorf("second: %+v", second)
+		t.Errorf("outcome of the second change: %+v", second)
 	}
 	repeated := s.Fold(2, change("first", 1))
 	if !repeated.Accepted || repeated.Version != 1 || s.Current().Version != 1 {
-		t.Errorf("a repeated change counts again: %+v", repeated)
+		t.Errorf("a repeated change was applied again: %+v", repeated)
 	}
 }
 
@@ -143,7 +144,7 @@
 	s := NewStore()
 	s.FoldEntry(port.Entry{Offset: 0, Record: port.Record{Kind: "of-a-later-version", Data: json.RawMessage(`{}`)}})
 	if got := s.Current().Offset; got != 1 {
-		t.Errorf("the reader stands at %d", got)
+		t.Errorf("offset %d, want 1", got)
 	}
 }
 
@@ -183,8 +184,8 @@
 	}
 }
 
-// Whatever the text, decoding ends with a value or with a problem that names a
-// remedy, and a value that was decoded can be encoded and decoded again.
+// Decoding any text yields either a value or a problem with a remedy, and a decoded
+// value survives encoding and decoding.
 func FuzzDeclarations(f *testing.F) {
 	f.Add(`{"accounts": {"a": {"weight": 1, "ceiling": 2}}, /* comment */ "classes": {},}`)
 	f.Add(`{"classes": {"c": {"kind": "job", "expectation": "1h"}}}`)
@@ -194,35 +195,35 @@
 		var d Declarations
 		if problem := DecodeStrict("file", []byte(text), &d); problem != nil {
 			if problem.Remedy == "" || problem.Line < 0 || problem.Line > 1+strings.Count(text, "\n") {
-				t.Fatalf("unhelpful: %+v", problem)
+				t.Fatalf("problem without a remedy or with an invalid line: %+v", problem)
 			}
 			return
 		}
 		Validate(d)
-		if d2 := d.Clone(); cmp.Diff(d, d2) != "" && !sameJSON(d, d2) {
-			t.Fatal("declarations change when they are written and read")
+		if d2 := d.Clone(); cmp.Diff(d, d2) != "" && !equalJSON(d, d2) {
+			t.Fatal("declarations changed by encoding and decoding")
 		}
 	})
 }
 
-// Guards against a conflict for a change that is repeated at an instance which has its version
-// from a peer, and not the records that made it.
+// Guards against reporting a conflict for a change that is repeated at an instance
+// which adopted the version from a peer and has not read the record of the change.
 func TestTheChangeThatMadeAnAdoptedVersionIsKnown(t *testing.T) {
-	made := NewStore()
-	if outcome := made.Fold(0, Change{ID: "first"}); !outcome.Accepted {
-		t.Fatalf("%+v", outcome)
+	original := NewStore()
+	if outcome := original.Fold(0, Change{ID: "first"}); !outcome.Accepted {
+		t.Fatalf("the change was not accepted: %+v", outcome)
 	}
-	late := NewStore()
-	if !late.Adopt(made.Current()) {
-		t.Fatal("the version is not adopted")
+	adopter := NewStore()
+	if !adopter.Adopt(original.Current()) {
+		t.Fatal("the snapshot was not adopted")
 	}
-	if outcome, known := late.Outcome("first", 0); !known || !outcome.Accepted || outcome.Version != 1 {
-		t.Errorf("of the change that made the version: %+v, known %t", outcome, known)
+	if outcome, known := adopter.Outcome("first", 0); !known || !outcome.Accepted || outcome.Version != 1 {
+		t.Errorf("outcome of the change that created the version: %+v, known %t", outcome, known)
 	}
-	if outcome := late.Fold(0, Change{ID: "first"}); !outcome.Accepted || outcome.Version != 1 {
-		t.Errorf("its record is folded as %+v", outcome)
+	if outcome := adopter.Fold(0, Change{ID: "first"}); !outcome.Accepted || outcome.Version != 1 {
+		t.Errorf("outcome when its record is applied: %+v", outcome)
 	}
-	if outcome, known := late.Outcome("second", 0); known {
-		t.Errorf("of a change that nobody made: %+v", outcome)
+	if outcome, known := adopter.Outcome("second", 0); known {
+		t.Errorf("outcome of a change that was never made: %+v", outcome)
 	}
 }
