--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries calls between instances: jsonrpc2 over TCP, one line a
-// message. Both sides prove that they hold the peers' shared secret before
-// anything else is answered; the secret itself is never sent.
+// Package peer implements calls between instances: JSON-RPC 2.0 over TCP, one
+// message per line. Both sides prove that they have the shared secret before any
+// other call is answered; the secret itself is never sent.
 package peer
 
 import (
@@ -20,14 +20,14 @@
 	"github.com/creachadair/jrpc2/handler"
 )
 
-// The methods of the handshake.
+// Methods of the handshake.
 const (
 	methodChallenge = "peer.challenge"
 	methodProve     = "peer.prove"
 )
 
-// ErrSecret says that the other side does not hold the shared secret.
-var ErrSecret = errors.New("the peer does not hold the shared secret: give both sides the same peer_secret_file")
+// ErrSecretMismatch is returned when the other side does not have the same shared secret.
+var ErrSecretMismatch = errors.New("the peer does not have the shared secret: configure the same peer_secret_file on both sides")
 
 type challenge struct {
 	Nonce string `json:"nonce"`
@@ -39,44 +39,44 @@
 
 func newNonce() string {
 	raw := make([]byte, 16)
-	// crypto/rand.Read never fails: it ends the program instead.
+	// crypto/rand.Read never returns an error; it crashes the program instead.
 	_, _ = rand.Read(raw)
 	return hex.EncodeToString(raw)
 }
 
-func prove(secret []byte, role, nonce string) string {
+func computeProof(secret []byte, role, nonce string) string {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(role + "|" + nonce))
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-func proves(secret []byte, role, nonce, given string) bool {
-	return hmac.Equal([]byte(prove(secret, role, nonce)), []byte(given))
+func verifyProof(secret []byte, role, nonce, received string) bool {
+	return hmac.Equal([]byte(computeProof(secret, role, nonce)), []byte(received))
 }
 
-// Counters are the bytes that crossed peers' sockets.
+// Counters count the bytes received from and sent to peers.
 type Counters struct {
 	In, Out atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	counters *Counters
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.counters.In.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.counters.Out.Add(int64(n))
 	return n, err
 }
 
-// Server answers peers' calls.
+// Server answers calls of peers.
 type Server struct {
 	secret   []byte
 	methods  handler.Map
@@ -84,12 +84,13 @@
 	wg       sync.WaitGroup
 }
 
-// NewServer returns a server of the methods.
+// NewServer returns a server for the methods.
 func NewServer(secret []byte, methods handler.Map, counters *Counters) *Server {
 	return &Server{secret: secret, methods: methods, counters: counters}
 }
 
-// Serve answers connections until the listener is closed.
+// Serve accepts and serves connections until the listener is closed, and then
+// waits for the open ones to end.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	defer s.wg.Wait()
 	for {
@@ -100,7 +101,7 @@
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			s.serve(ctx, countedConn{conn, s.counters})
+			s.serve(ctx, countingConn{conn, s.counters})
 		}()
 	}
 }
@@ -110,11 +111,11 @@
 	server := jrpc2.NewServer(session, nil).Start(channel.Line(conn, conn))
 	stop := context.AfterFunc(ctx, server.Stop)
 	defer stop()
-	_ = server.Wait() // the peer notices and dials again
+	_ = server.Wait() // the peer sees the closed connection and dials again
 }
 
-// session is one connection; it answers only the handshake until the peer has
-// proved itself.
+// session is one connection. It answers only the handshake until the peer is
+// authenticated.
 type session struct {
 	server *Server
 	mu     sync.Mutex
@@ -126,9 +127,9 @@
 func (s *session) Assign(ctx context.Context, method string) jrpc2.Handler {
 	switch method {
 	case methodChallenge:
-		return handler.New(s.challenge)
+		return handler.New(s.handleChallenge)
 	case methodProve:
-		return handler.New(s.prove)
+		return handler.New(s.handleProve)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,30 +139,30 @@
 	return s.server.methods.Assign(ctx, method)
 }
 
-func (s *session) challenge(_ context.Context, c challenge) (challengeAnswer, error) {
+func (s *session) handleChallenge(_ context.Context, c challenge) (challengeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nonce = newNonce()
-	return challengeAnswer{Nonce: s.nonce, Proof: prove(s.server.secret, "server", c.Nonce)}, nil
+	return challengeResponse{Nonce: s.nonce, Proof: computeProof(s.server.secret, "server", c.Nonce)}, nil
 }
 
-type challengeAnswer struct {
+type challengeResponse struct {
 	Nonce string `json:"nonce"`
 	Proof string `json:"proof"`
 }
 
-func (s *session) prove(_ context.Context, p proof) (bool, error) {
+func (s *session) handleProve(_ context.Context, p proof) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.proved = s.nonce != "" && proves(s.server.secret, "client", s.nonce, p.Proof)
+	s.proved = s.nonce != "" && verifyProof(s.server.secret, "client", s.nonce, p.Proof)
 	s.nonce = ""
 	if !s.proved {
-		return false, ErrSecret
+		return false, ErrSecretMismatch
 	}
 	return true, nil
 }
 
-// Pool keeps one connection to each peer. Safe for concurrent use.
+// Pool maintains one connection to each peer. It is safe for concurrent use.
 type Pool struct {
 	secret   []byte
 	counters *Counters
@@ -172,28 +173,28 @@
 	delay   func(address string) time.Duration
 }
 
-// SetDelay makes every call to an address take longer; the demo plays the
-// distance between data centres with it. Set it before the first call.
+// SetDelay adds a delay to every call to an address; the demo uses it to simulate
+// the latency between data centres. It must be called before the first call.
 func (p *Pool) SetDelay(delay func(address string) time.Duration) { p.delay = delay }
 
-// NewPool returns a pool without connections.
+// NewPool returns a pool that has no connections yet.
 func NewPool(secret []byte, counters *Counters) *Pool {
 	return &Pool{secret: secret, counters: counters, clients: map[string]*jrpc2.Client{}, blocked: map[string]bool{}}
 }
 
-// dialTimeout bounds a connection's setting up.
+// dialTimeout bounds the dial and, separately, the handshake of a connection.
 const dialTimeout = time.Second
 
-// Block makes calls to an address fail, and Unblock lets them through again;
-// tests and the demo cut networks with them.
+// Block makes calls to an address fail until Unblock; tests and the demo use it to
+// simulate network partitions.
 func (p *Pool) Block(address string) {
 	p.mu.Lock()
 	p.blocked[address] = true
 	p.mu.Unlock()
-	p.drop(address, nil)
+	p.closeClient(address, nil)
 }
 
-// Unblock undoes Block for all addresses.
+// Unblock reverts Block for all addresses.
 func (p *Pool) Unblock() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,7 +213,7 @@
 	err = client.CallResult(ctx, method, params, result)
 	var rpcErr *jrpc2.Error
 	if err != nil && !errors.As(err, &rpcErr) {
-		p.drop(address, client)
+		p.closeClient(address, client)
 	}
 	return err
 }
@@ -223,7 +224,7 @@
 	blocked := p.blocked[address]
 	p.mu.Unlock()
 	if blocked {
-		return nil, errors.Newf("no route to %s", address)
+		return nil, errors.Newf("calls to %s are blocked", address)
 	}
 	if ok {
 		return client, nil
@@ -235,7 +236,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if other, ok := p.clients[address]; ok {
-		_ = client.Close() // another call was first
+		_ = client.Close() // a concurrent call connected first
 		return other, nil
 	}
 	p.clients[address] = client
@@ -248,32 +249,34 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "dial peer")
 	}
-	counted := countedConn{conn, p.counters}
+	counted := countingConn{conn, p.counters}
 	client := jrpc2.NewClient(channel.Line(counted, counted), nil)
 	handshakeCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	if err := p.handshake(handshakeCtx, client); err != nil {
-		_ = client.Close() // the handshake's error says more
+		_ = client.Close() // the handshake's error is more informative
 		return nil, err
 	}
 	return client, nil
 }
 
 func (p *Pool) handshake(ctx context.Context, client *jrpc2.Client) error {
-	own := newNonce()
-	var answer challengeAnswer
-	if err := client.CallResult(ctx, methodChallenge, challenge{Nonce: own}, &answer); err != nil {
-		return errors.Wrap(err, "challenge peer")
+	nonce := newNonce()
+	var response challengeResponse
+	if err := client.CallResult(ctx, methodChallenge, challenge{Nonce: nonce}, &response); err != nil {
+		return errors.Wrap(err, "send challenge to peer")
 	}
-	if !proves(p.secret, "server", own, answer.Proof) {
-		return ErrSecret
+	if !verifyProof(p.secret, "server", nonce, response.Proof) {
+		return ErrSecretMismatch
 	}
 	var ok bool
-	err := client.CallResult(ctx, methodProve, proof{Proof: prove(p.secret, "client", answer.Nonce)}, &ok)
-	return errors.Wrap(err, "prove to peer")
+	err := client.CallResult(ctx, methodProve, proof{Proof: computeProof(p.secret, "client", response.Nonce)}, &ok)
+	return errors.Wrap(err, "send proof to peer")
 }
 
-func (p *Pool) drop(address string, client *jrpc2.Client) {
+// closeClient closes the connection to an address and removes it from the pool; if
+// client is not nil, only if it is still the current one.
+func (p *Pool) closeClient(address string, client *jrpc2.Client) {
 	p.mu.Lock()
 	current, ok := p.clients[address]
 	if ok && (client == nil || current == client) {
--- a/transport/peer/peer_test.go
+++ b/transport/peer/peer_test.go
@@ -51,13 +51,13 @@
 func TestOnlyHoldersOfTheSecretAreAnswered(t *testing.T) {
 	address, calls := serve(t, "the-right-secret")
 	if answer, err := call(t, "the-right-secret", address); err != nil || answer != "hello" {
-		t.Errorf("with the secret: %q, %v", answer, err)
+		t.Errorf("call with the secret: answer %q, error %v", answer, err)
 	}
-	if _, err := call(t, "another-secret", address); !errors.Is(err, ErrSecret) {
-		t.Errorf("with another secret: %v", err)
+	if _, err := call(t, "another-secret", address); !errors.Is(err, ErrSecretMismatch) {
+		t.Errorf("call with another secret: error %v, want ErrSecretMismatch", err)
 	}
 	if *calls != 1 {
-		t.Errorf("%d calls were served", *calls)
+		t.Errorf("%d calls were served, want 1", *calls)
 	}
 }
 
@@ -73,14 +73,14 @@
 	defer cancel()
 	var answer string
 	if err := client.CallResult(ctx, "echo", []string{"hello"}, &answer); err == nil {
-		t.Error("served without a proof")
+		t.Error("a call before the proof was served")
 	}
 	var ok bool
 	if err := client.CallResult(ctx, methodProve, proof{Proof: "made up"}, &ok); err == nil {
-		t.Error("a made-up proof was taken")
+		t.Error("an invalid proof was accepted")
 	}
 	if err := client.CallResult(ctx, "echo", []string{"hello"}, &answer); err == nil || *calls != 0 {
-		t.Error("served after a made-up proof")
+		t.Error("a call after an invalid proof was served")
 	}
 }
 
@@ -93,10 +93,10 @@
 	var answer string
 	pool.Block(address)
 	if err := pool.Call(ctx, address, "echo", []string{"hello"}, &answer); err == nil {
-		t.Error("reached although blocked")
+		t.Error("a call to a blocked address succeeded")
 	}
 	pool.Unblock()
 	if err := pool.Call(ctx, address, "echo", []string{"hello"}, &answer); err != nil {
-		t.Errorf("not reached after unblocking: %v", err)
+		t.Errorf("a call after unblocking failed: %v", err)
 	}
 }
