--- a/port/backend.go
+++ b/port/backend.go
@@ -1,21 +1,21 @@
 package port
 
-// The headers between instances and backend servers.
+// Headers and trailers between instances and backend servers.
 const (
-	// HeaderID carries the request's id both ways; an answer with another id
-	// is not the caller's.
+	// HeaderID carries the request id in both directions; an answer with another id
+	// belongs to another request.
 	HeaderID = "Cobalttide-Request-Id"
 	// HeaderAccount carries the client account.
 	HeaderAccount = "Cobalttide-Account"
-	// HeaderDeadline carries the time left, in milliseconds.
+	// HeaderDeadline carries the time until the deadline, in milliseconds.
 	HeaderDeadline = "Cobalttide-Deadline-Ms"
-	// HeaderNotRun is a backend server's own word that it did not run it.
+	// HeaderNotRun is set by a backend server that did not run the request.
 	HeaderNotRun = "Cobalttide-Not-Run"
-	// HeaderLeaving is its word that it is leaving.
+	// HeaderLeaving is set by a backend server that is leaving.
 	HeaderLeaving = "Cobalttide-Leaving"
-	// HeaderLoad is its count of requests in work and waiting.
+	// HeaderLoad carries the backend server's count of running and queued requests.
 	HeaderLoad = "Cobalttide-Load"
-	// HeaderEnd is the trailer that ends an answer of unknown length; it
-	// repeats the id.
+	// HeaderEnd is the trailer that ends an answer of unknown length; its value is
+	// the request id.
 	HeaderEnd = "Cobalttide-End"
 )
--- a/port/port.go
+++ b/port/port.go
@@ -1,7 +1,7 @@
-// Package port states what the system needs of the platform: an
-// append-only log service, a list of instances and backend servers, and the
-// agents of workers. Implementations are clients over HTTP; package standin
-// has the small servers that take the platform's place in development.
+// Package port defines the interfaces that the system requires of the platform: an
+// append-only log service, a list of instances and backend servers, and the agents
+// of workers. The implementations are HTTP clients; package standin contains small
+// servers that replace the platform in development.
 package port
 
 import (
@@ -14,15 +14,15 @@
 // Stream names one append-only sequence of records in the log service.
 type Stream string
 
-// Record is one entry of a stream. ID is chosen by the writer, so that an
-// append whose answer was lost is found again by reading.
+// Record is one record of a stream. The writer chooses ID, so that it can find out
+// by reading whether an append whose answer was lost succeeded.
 type Record struct {
 	ID   string          `json:"id"`
 	Kind string          `json:"kind"`
 	Data json.RawMessage `json:"data"`
 }
 
-// Entry is a record with its place in the stream.
+// Entry is a record with its offset in the stream.
 type Entry struct {
 	Offset int64  `json:"offset"`
 	Record Record `json:"record"`
@@ -31,44 +31,45 @@
 // Page is the answer to a read.
 type Page struct {
 	Entries []Entry `json:"entries"`
-	// Oldest is the first offset that the log still holds.
+	// Oldest is the first offset that the log still retains.
 	Oldest int64 `json:"oldest"`
 	// Next is the offset to read from next.
 	Next int64 `json:"next"`
-	// End is the offset that the next append will take.
+	// End is the offset of the next append.
 	End int64 `json:"end"`
 }
 
 // Log is the platform's log service.
 type Log interface {
-	// Append adds the records in one call, consecutively, and returns the
-	// offset of the first. An error does not say whether they were added.
+	// Append appends the records consecutively in one call and returns the offset
+	// of the first. After an error they may or may not have been appended.
 	Append(ctx context.Context, stream Stream, records []Record) (int64, error)
-	// Read returns entries from an offset on. When there are none it waits for
-	// one until ctx or the service's own bound ends, and returns an empty page.
+	// Read returns the entries from an offset on. If there are none, it waits for
+	// one until ctx ends or the service's own timeout, and then returns an empty
+	// page.
 	Read(ctx context.Context, stream Stream, from int64) (Page, error)
 }
 
-// ListedInstance is an instance as the platform's lagging list has it.
+// ListedInstance is an instance in the platform's list, which may be out of date.
 type ListedInstance struct {
 	ID         domain.InstanceID `json:"id"`
 	DataCentre domain.DataCentre `json:"data_centre"`
-	// Address is where its peers reach it, IP and port.
+	// Address is the IP and port at which peers reach the instance.
 	Address string `json:"address"`
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// ListVersions identify the three lists; a part that the reader knows already
-// is not sent again, so that reading the lists often costs little.
+// ListVersions identifies the versions of the three lists. A list that the reader
+// already has is not sent again, so that frequent reads are cheap.
 type ListVersions struct {
 	Instances string `json:"instances,omitempty"`
 	Workers   string `json:"workers,omitempty"`
 	Backends  string `json:"backends,omitempty"`
 }
 
-// ListQuery asks for the lists.
+// ListQuery is a query for the lists.
 type ListQuery struct {
-	// Self is registered as alive when it has an ID.
+	// Self is registered as alive if it has an ID.
 	Self ListedInstance `json:"self"`
 	// DataCentre restricts workers to one data centre; empty means all.
 	DataCentre domain.DataCentre `json:"data_centre,omitempty"`
@@ -76,7 +77,7 @@
 	Known ListVersions `json:"known"`
 }
 
-// Inventory is what the platform's lists say; every part may lag.
+// Inventory is the content of the platform's lists; each may be out of date.
 type Inventory struct {
 	Versions  ListVersions           `json:"versions"`
 	Instances []ListedInstance       `json:"instances,omitempty"`
@@ -84,7 +85,7 @@
 	Backends  []domain.BackendServer `json:"backends,omitempty"`
 }
 
-// Update returns the inventory with the parts that an answer brought anew.
+// Update returns the inventory with the lists that changed in an answer.
 func (i Inventory) Update(answer Inventory) Inventory {
 	out := answer
 	if answer.Versions.Instances == i.Versions.Instances {
@@ -101,7 +102,7 @@
 
 // Lister reads the platform's lists.
 type Lister interface {
-	// List returns the lists' parts that the reader does not know yet.
+	// List returns the lists whose versions differ from those that the reader has.
 	List(ctx context.Context, query ListQuery) (Inventory, error)
 }
 
@@ -110,50 +111,48 @@
 
 // The states of a gang member on its worker.
 const (
-	// TaskReserved holds resources under a lease, with nothing started.
+	// TaskReserved has resources reserved under a lease, with nothing started.
 	TaskReserved TaskState = "reserved"
-	// TaskArmed has its processes in place, waiting to be released.
+	// TaskArmed has prepared processes that wait to be released.
 	TaskArmed TaskState = "armed"
-	// TaskRunning does its work.
+	// TaskRunning has released processes that are running.
 	TaskRunning TaskState = "running"
-	// TaskFinished ended by itself with success.
+	// TaskFinished ended on its own, successfully.
 	TaskFinished TaskState = "finished"
-	// TaskFailed ended by itself with an error.
+	// TaskFailed ended on its own with an error.
 	TaskFailed TaskState = "failed"
-	// TaskStopped was stopped, or its lease lapsed.
+	// TaskStopped was stopped, or its lease expired.
 	TaskStopped TaskState = "stopped"
-	// TaskAbsent is not known to the worker.
+	// TaskAbsent has no record on the worker.
 	TaskAbsent TaskState = "absent"
 )
 
-// Live tells whether the member holds resources of its worker.
+// Live reports whether the member occupies resources of its worker.
 func (s TaskState) Live() bool {
 	return s == TaskReserved || s == TaskArmed || s == TaskRunning
 }
 
-// Verb is what a worker is asked to do.
+// Verb is the operation of a command to a worker.
 type Verb string
 
-// The verbs of a worker's agent. All but VerbClaim may be repeated with the
-// same effect.
+// Verbs of a worker's agent. All but VerbClaim are idempotent.
 const (
-	// VerbClaim raises the worker's token and returns all members it holds.
+	// VerbClaim raises the worker's fencing token and returns all its members.
 	VerbClaim Verb = "claim"
-	// VerbReserve sets resources aside under a lease.
+	// VerbReserve reserves resources under a lease.
 	VerbReserve Verb = "reserve"
-	// VerbArm puts processes in place without releasing them. It is refused
-	// after Until.
+	// VerbArm prepares processes without releasing them. It is refused after Until.
 	VerbArm Verb = "arm"
-	// VerbRelease lets an armed member do its work. It is refused after Until,
-	// which is when another member's lease may end.
+	// VerbRelease starts the processes of an armed member. It is refused after
+	// Until, when the lease of another member may end.
 	VerbRelease Verb = "release"
-	// VerbRenew extends the leases of all members named.
+	// VerbRenew extends the leases of the members of Gangs.
 	VerbRenew Verb = "renew"
 	// VerbCheckpoint saves the member's progress.
 	VerbCheckpoint Verb = "checkpoint"
-	// VerbStop ends a member and gives its resources back.
+	// VerbStop stops a member and releases its resources.
 	VerbStop Verb = "stop"
-	// VerbForget drops the record of an ended member.
+	// VerbForget deletes the record of an ended member.
 	VerbForget Verb = "forget"
 )
 
@@ -167,22 +166,22 @@
 	Gangs []domain.Incarnation `json:"gangs,omitempty"`
 	// Members is the number of workers that the whole gang spans.
 	Members int `json:"members,omitempty"`
-	// Tasks and PerTask are what VerbReserve sets aside.
+	// Tasks and PerTask are the resources that VerbReserve reserves.
 	Tasks   int              `json:"tasks,omitempty"`
 	PerTask domain.Resources `json:"per_task,omitzero"`
-	// Boot is the worker's boot that the sender knows; a worker that has
-	// restarted since refuses the command. Empty for VerbClaim.
+	// Boot is the last boot of the worker that the sender has seen; a worker that
+	// has restarted since refuses the command. Empty for VerbClaim.
 	Boot string `json:"boot,omitempty"`
-	// Until is the end of the lease, or of the command's validity, on the
-	// worker's own clock. Because it is
-	// computed from a reading that the worker gave, a command that arrives late
-	// can't extend a lease beyond what its sender counts on.
+	// Until is the end of the lease, or of the command's validity, on the worker's
+	// own clock. It is computed from a clock reading that the worker reported, so
+	// that a command that arrives late cannot extend a lease beyond the end that its
+	// sender assumes.
 	Until domain.Duration `json:"until,omitempty"`
-	// Payload is handed to the tasks by VerbArm.
+	// Payload is passed to the tasks by VerbArm.
 	Payload string `json:"payload,omitempty"`
 }
 
-// Member is what a worker reports of one gang on it.
+// Member is the state of one gang on a worker, as the worker reports it.
 type Member struct {
 	Gang domain.Incarnation `json:"gang"`
 	// Members is the number of workers that the whole gang spans.
@@ -192,29 +191,31 @@
 	PerTask domain.Resources `json:"per_task"`
 	// Result is set once the tasks have finished or failed.
 	Result string `json:"result,omitempty"`
-	// Progress is the run time that the last checkpoint has saved.
+	// Progress is the run time saved by the last checkpoint.
 	Progress domain.Duration `json:"progress,omitempty"`
-	// UsedMemoryMiB is the measured memory of one task; it lags.
+	// UsedMemoryMiB is the measured memory of one task; it may be out of date.
 	UsedMemoryMiB int `json:"used_memory_mib,omitempty"`
 }
 
 // Report is a worker's answer to any command.
 type Report struct {
-	// Refused is set when the command's token was too low or it could not be
-	// carried out; the command had no effect.
+	// Refused is set if the command's token was too low or the command could not be
+	// executed; the command then had no effect.
 	Refused string `json:"refused,omitempty"`
 	// Seen is the highest token that the worker has seen.
 	Seen domain.Token `json:"seen"`
-	// Boot changes whenever the worker restarts with nothing running.
+	// Boot identifies the worker's boot; it changes whenever the worker restarts
+	// with nothing running.
 	Boot string `json:"boot"`
 	// Clock is the worker's monotonic clock since its boot.
 	Clock domain.Duration `json:"clock"`
-	// Members are the gangs that the worker holds or remembers.
+	// Members are the worker's gangs, including ended ones whose record it still
+	// has.
 	Members []Member `json:"members"`
 }
 
 // Workers calls the agents of workers.
 type Workers interface {
-	// Do carries out one command. An error does not say whether it took effect.
+	// Do executes one command. After an error it may or may not have taken effect.
 	Do(ctx context.Context, worker domain.Worker, command Command) (Report, error)
 }
