--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds an instance's counters and latency histograms. Labels
-// are closed sets of codes; they never hold identifiers.
+// Package telemetry provides the metrics of an instance. Labels are closed sets of
+// codes; they never contain identifiers.
 package telemetry
 
 import (
@@ -11,42 +11,44 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Latency is a span of work that is measured.
+// Latency names a span of work whose duration is measured.
 type Latency string
 
-// The spans that are measured, in seconds.
+// Measured spans, in seconds.
 const (
-	// Acceptance: from a submission's arrival to its acceptance in the log.
+	// Acceptance is the time from the arrival of a submission to its acceptance in
+	// the log.
 	Acceptance Latency = "acceptance"
-	// AnswerSubmit, AnswerShow, AnswerCancel, AnswerCount: from a caller's
-	// request to its answer, by operation.
+	// AnswerSubmit, AnswerShow, AnswerCancel and AnswerCount are the times from a
+	// caller's request to its answer, by operation.
 	AnswerSubmit Latency = "answer_submit"
 	AnswerShow   Latency = "answer_show"
 	AnswerCancel Latency = "answer_cancel"
 	AnswerCount  Latency = "answer_count"
-	// StartAnswer: from an order to its worker's answer.
+	// StartAnswer is the time from an order to start a run to the worker's answer.
 	StartAnswer Latency = "start_answer"
-	// AdviceAnswer: from a call for advice to its answer.
+	// AdviceAnswer is the time from a request for advice to its answer.
 	AdviceAnswer Latency = "advice_answer"
-	// LogAppend: one append to the log, through whichever way it went.
+	// LogAppend is the duration of one append to the log, by any path.
 	LogAppend Latency = "log_append"
-	// Round: one planning round.
+	// Round is the duration of one planning round.
 	Round Latency = "round"
-	// Suspension: a time for which the instance was suspended.
+	// Suspension is a period for which the instance was suspended.
 	Suspension Latency = "suspension"
 )
 
-// LogOperation is what is asked of the log.
+// LogOperation is an operation on the log.
 type LogOperation string
 
-// The operations on the log.
+// Operations on the log.
 const (
 	LogRead   LogOperation = "read"
 	LogNewest LogOperation = "newest"
 	LogWrite  LogOperation = "write"
 )
 
-// Metrics are one instance's. The zero value is not usable; call New.
+// Metrics are the metrics of one instance. The zero value is not usable; call New.
+// All methods but Handler do nothing on a nil receiver.
 type Metrics struct {
 	registry  *prometheus.Registry
 	events    *prometheus.CounterVec
@@ -57,10 +59,10 @@
 	logBytes  *prometheus.CounterVec
 }
 
-// buckets reach from a millisecond to a minute.
-var buckets = prometheus.ExponentialBuckets(0.001, 2.5, 13)
+// latencyBuckets range from a millisecond to a minute.
+var latencyBuckets = prometheus.ExponentialBuckets(0.001, 2.5, 13)
 
-// New returns an empty set.
+// New returns metrics in a registry of their own.
 func New() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -71,7 +73,7 @@
 			Name: "cobalttide_reasons_total", Help: "Refusals, retries and ends, by event and reason.",
 		}, []string{"event", "reason"}),
 		latencies: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "cobalttide_latency_seconds", Help: "Spans of work.", Buckets: buckets,
+			Name: "cobalttide_latency_seconds", Help: "Spans of work.", Buckets: latencyBuckets,
 		}, []string{"span"}),
 		gauges: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "cobalttide_state", Help: "What the instance believes, by quantity.",
@@ -87,7 +89,7 @@
 	return m
 }
 
-// Count adds one to an event, and to its reason where it has one.
+// Count counts one event, and its reason if it has one.
 func (m *Metrics) Count(event, reason string) {
 	if m == nil {
 		return
@@ -98,7 +100,7 @@
 	}
 }
 
-// LogCall counts a call to the log.
+// LogCall counts a call to the log; served is whether it succeeded.
 func (m *Metrics) LogCall(topic string, operation LogOperation, served bool) {
 	if m == nil {
 		return
@@ -106,7 +108,7 @@
 	m.logCalls.WithLabelValues(topic, string(operation), strconv.FormatBool(served)).Inc()
 }
 
-// LogBytes counts the bytes of a record that was read or written.
+// LogBytes counts the bytes of a record that was read from or written to the log.
 func (m *Metrics) LogBytes(topic, kind string, operation LogOperation, bytes int) {
 	if m == nil {
 		return
@@ -114,7 +116,7 @@
 	m.logBytes.WithLabelValues(topic, kind, string(operation)).Add(float64(bytes))
 }
 
-// Observe records a span.
+// Observe records the duration of a span.
 func (m *Metrics) Observe(span Latency, took time.Duration) {
 	if m == nil {
 		return
@@ -122,7 +124,7 @@
 	m.latencies.WithLabelValues(string(span)).Observe(took.Seconds())
 }
 
-// Set records a quantity that goes up and down.
+// Set sets a gauge.
 func (m *Metrics) Set(quantity string, value float64) {
 	if m == nil {
 		return
@@ -130,7 +132,7 @@
 	m.gauges.WithLabelValues(quantity).Set(value)
 }
 
-// Handler serves the metrics as text.
+// Handler returns a handler that serves the metrics in Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
