--- a/events/docs_test.go
+++ b/events/docs_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Every event that the code can write is explained to operators.
+// Guards against an event that the code can write and the operators' page does not
+// explain.
 func TestEveryEventIsOnTheOperatorsPage(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	if err != nil {
--- a/events/log.go
+++ b/events/log.go
@@ -1,6 +1,7 @@
-// Package events writes one structured line a decision to standard output. The
-// volume is bounded, and writing never blocks a decision: lines that have no
-// room are counted by event and the count is written when there is room again.
+// Package events writes one structured log line per decision to standard output.
+// The volume is bounded, and writing never blocks a decision: lines that do not fit
+// are dropped and counted by event, and the counts are written when there is space
+// again.
 package events
 
 import (
@@ -16,16 +17,16 @@
 // Fields are the fields of one line.
 type Fields map[string]any
 
-// TimeFormat is how lines give the time of day.
+// TimeFormat is the format of the time in log lines.
 const TimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Bounds of the volume.
+// Limits of the log volume.
 const (
-	// LinesPerSecond is the budget over a longer time.
+	// LinesPerSecond is the sustained rate limit.
 	LinesPerSecond = 300
-	// LinesBurst is how many lines may come at once.
+	// LinesBurst is the number of lines that may be written in a burst.
 	LinesBurst = 1500
-	// queueLength is how many lines wait for a slow reader.
+	// queueLength is the number of lines that may queue for a slow reader.
 	queueLength = 1024
 )
 
@@ -36,37 +37,39 @@
 	budget *rate.Limiter
 	base   logrus.Fields
 	done   chan struct{}
-	// count is called for every event, written or not.
+	// count is called for every event, written or dropped.
 	count func(event, reason string)
 
 	mu      sync.Mutex
-	leftOut map[Name]int
+	dropped map[Name]int
 
-	// closing guards closed; lines after it are dropped.
-	closing sync.RWMutex
+	// closeMu guards closed. Lines written after Close are dropped.
+	closeMu sync.RWMutex
 	closed  bool
 }
 
-// New returns a log that writes to out; base stands in every line. Count, which
-// may be nil, is called for every event with its reason, written or left out.
+// New returns a log that writes to out; every line contains the fields of base.
+// count, which may be nil, is called for every event with its reason, whether it is
+// written or dropped.
 func New(out io.Writer, base Fields, count func(event, reason string)) *Log {
 	l := &Log{
 		lines: make(chan []byte, queueLength), budget: rate.NewLimiter(LinesPerSecond, LinesBurst),
-		base: logrus.Fields(base), done: make(chan struct{}), leftOut: map[Name]int{}, count: count,
+		base: logrus.Fields(base), done: make(chan struct{}), dropped: map[Name]int{}, count: count,
 	}
 	l.logger = logrus.New()
-	l.logger.SetOutput(writer{l})
+	l.logger.SetOutput(queueWriter{l})
 	l.logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: TimeFormat})
-	go l.drain(out)
+	go l.writeLines(out)
 	return l
 }
 
-// writer hands finished lines to the goroutine that writes them.
-type writer struct{ l *Log }
+// queueWriter queues formatted lines for the goroutine that writes them. It drops a
+// line if the queue is full.
+type queueWriter struct{ l *Log }
 
-func (w writer) Write(line []byte) (int, error) {
-	w.l.closing.RLock()
-	defer w.l.closing.RUnlock()
+func (w queueWriter) Write(line []byte) (int, error) {
+	w.l.closeMu.RLock()
+	defer w.l.closeMu.RUnlock()
 	if w.l.closed {
 		return len(line), nil
 	}
@@ -77,25 +80,26 @@
 	return len(line), nil
 }
 
-func (l *Log) drain(out io.Writer) {
+func (l *Log) writeLines(out io.Writer) {
 	for line := range l.lines {
 		_, _ = out.Write(line)
 	}
 	close(l.done)
 }
 
-// essential events end the story of a job or of a process, and are never left
-// out before others.
+// essential events end the history of a job or of a process, or report a change that
+// concerns every job. They are exempt from the rate limit, and dropped only when the
+// queue is full.
 var essential = map[Name]bool{
 	Started: true, Stopping: true, Stopped: true, JobRefused: true, JobCancelled: true, BookShed: true, ClaimTaken: true,
 	"job-completed": true, "job-failed": true, PlannerBegins: true, PlannerEnds: true, PlannerTempo: true,
 	Suspended: true, DependencyLost: true, DependencyRegained: true, ConfigurationInForce: true,
 }
 
-// reserve is the part of the queue that only essential events may use.
-const reserve = queueLength / 4
+// essentialReserve is the part of the queue that is reserved for essential events.
+const essentialReserve = queueLength / 4
 
-// Info writes one line, or counts it as left out.
+// Info writes one line, or drops and counts it. It does nothing on a nil Log.
 func (l *Log) Info(event Name, fields Fields) {
 	if l == nil {
 		return
@@ -103,52 +107,54 @@
 	if l.count != nil {
 		l.count(string(event), reasonOf(event, fields))
 	}
-	full := len(l.lines) >= queueLength-1 || (!essential[event] && len(l.lines) >= queueLength-reserve)
+	full := len(l.lines) >= queueLength-1 || (!essential[event] && len(l.lines) >= queueLength-essentialReserve)
 	if full || (!essential[event] && !l.budget.Allow()) {
 		l.mu.Lock()
-		l.leftOut[event]++
+		l.dropped[event]++
 		l.mu.Unlock()
 		return
 	}
-	l.report()
+	l.reportDropped()
 	l.logger.WithFields(l.base).WithFields(logrus.Fields(fields)).Info(string(event))
 }
 
-// report writes what was left out, when there is room again.
-func (l *Log) report() {
+// reportDropped writes the number of dropped lines of each event and resets the
+// counts.
+func (l *Log) reportDropped() {
 	l.mu.Lock()
-	out := l.leftOut
-	if len(out) > 0 {
-		l.leftOut = map[Name]int{}
+	dropped := l.dropped
+	if len(dropped) > 0 {
+		l.dropped = map[Name]int{}
 	}
 	l.mu.Unlock()
-	for event, n := range out {
+	for event, n := range dropped {
 		l.logger.WithFields(l.base).WithFields(logrus.Fields{"event": event, "lines": n}).Info(string(LinesLeftOut))
 	}
 }
 
-// Close writes what waits, for at most the time given.
-func (l *Log) Close(most time.Duration) {
-	l.closing.Lock()
+// Close writes the queued lines and stops the log. It returns after at most timeout.
+func (l *Log) Close(timeout time.Duration) {
+	l.closeMu.Lock()
 	if !l.closed {
 		l.closed = true
 		close(l.lines)
 	}
-	l.closing.Unlock()
+	l.closeMu.Unlock()
 	select {
 	case <-l.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
 
-// reasoned events carry a code out of a closed set in the field that is named.
-var reasoned = map[Name]string{
+// reasonFields maps events that carry a reason to the field that contains it. Reasons
+// are codes of a closed set.
+var reasonFields = map[Name]string{
 	JobRefused: "reason", "run-ended": "why", "start-refused": "why", "run-stopping": "why",
 	RecordUnreadable: "reason", "run-lost": "why", "unit-waits": "why", "job-completed": "why", "job-failed": "why", "worker-gone": "why", "duty-answered": "why", "end-unknown": "why",
 }
 
 func reasonOf(event Name, fields Fields) string {
-	name, ok := reasoned[event]
+	name, ok := reasonFields[event]
 	if !ok {
 		return ""
 	}
--- a/events/log_test.go
+++ b/events/log_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// never is an output that nobody reads.
-type never struct{ release chan struct{} }
+// blockedWriter is an output whose writes block until it is released.
+type blockedWriter struct{ release chan struct{} }
 
-func (n never) Write(p []byte) (int, error) {
+func (n blockedWriter) Write(p []byte) (int, error) {
 	<-n.release
 	return len(p), nil
 }
 
 func TestAnOutputThatNobodyReadsNeverBlocksADecision(t *testing.T) {
-	out := never{make(chan struct{})}
+	out := blockedWriter{make(chan struct{})}
 	counted := 0
 	l := New(out, Fields{"instance": "a"}, func(string, string) { counted++ })
 	done := make(chan struct{})
@@ -32,27 +32,27 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("writing events blocks")
+		t.Fatal("writing events blocked for 30 s")
 	}
 	if counted != 2*lines {
-		t.Fatalf("%d events were counted, not %d", counted, 2*lines)
+		t.Fatalf("%d events were counted, want %d", counted, 2*lines)
 	}
 	close(out.release)
 }
 
-type safeBuilder struct {
+type lockedBuilder struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (b *safeBuilder) Write(p []byte) (int, error) {
+func (b *lockedBuilder) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
 func TestVolumeIsBoundedAndWhatIsLeftOutIsSaid(t *testing.T) {
-	out := &safeBuilder{}
+	out := &lockedBuilder{}
 	l := New(out, nil, nil)
 	for range 3 * LinesBurst {
 		l.Info(JobAccepted, Fields{"job": "x"})
@@ -62,13 +62,13 @@
 	l.Close(10 * time.Second)
 	text := out.text.String()
 	if n := strings.Count(text, string(JobAccepted)); n > 2*LinesBurst {
-		t.Fatalf("%d lines of one event", n)
+		t.Fatalf("%d lines of one event were written, more than twice the burst", n)
 	}
 	if !strings.Contains(text, string(LinesLeftOut)) {
-		t.Fatal("nothing says that lines were left out")
+		t.Fatal("no line reports the dropped lines")
 	}
 	if !strings.Contains(text, string(JobRefused)) {
-		t.Fatal("the line that ends a request's story was left out")
+		t.Fatal("the line that ends a job's history was dropped")
 	}
 }
 
@@ -81,7 +81,7 @@
 	want := map[string]string{"job-refused": "log-unavailable", "run-ended": "failed", "job-accepted": ""}
 	for event, reason := range want {
 		if got[event] != reason {
-			t.Errorf("%s is counted under %q, not %q", event, got[event], reason)
+			t.Errorf("%s is counted with reason %q, want %q", event, got[event], reason)
 		}
 	}
 }
--- a/events/report/report.go
+++ b/events/report/report.go
@@ -1,6 +1,6 @@
-// Package report tells from the logs of instances what bound a deployment: which
-// jobs were late, what they waited for, what work was thrown away and for what,
-// and when nobody planned. It reads what the instances wrote and nothing else.
+// Package report derives the bottlenecks of a deployment from the event logs of its
+// instances: which jobs were late, what they waited for, how much work was lost for
+// which cause, and when there was no planner. The logs are its only input.
 package report
 
 import (
@@ -13,59 +13,60 @@
 	"github.com/cobalttide/cobalttide/events"
 )
 
-// Report is what the logs tell of a stretch of time.
+// Report summarises the logs of a period.
 type Report struct {
-	// From is the time of the first line, To of the last.
+	// From is the time of the first line, and To that of the last.
 	From, To time.Time
 	Queues   []Queue
-	// Waits holds how long steps waited, by reason, in seconds.
+	// Waits is the total waiting time of jobs by reason, in seconds.
 	Waits map[string]float64
 	// Refused counts refusals by reason and outcome.
 	Refused map[string]int
-	// Stopped counts runs that were stopped, by cause; Thrown is the work that
-	// the stops threw away, in core-seconds.
-	Stopped map[string]int
-	Thrown  map[string]float64
-	// Ended counts the ends of runs by how they ended.
+	// Stopped counts the runs that were stopped, by cause; LostWork is the work lost
+	// by the stops, in core-seconds.
+	Stopped  map[string]int
+	LostWork map[string]float64
+	// Ended counts the runs that ended, by how they ended.
 	Ended map[string]int
-	// Gaps are the stretches in which nobody planned.
+	// Gaps are the periods without a planner.
 	Gaps []Gap
-	// Seconds counts, by second since From, the jobs that were late by when they
-	// were accepted.
+	// Seconds counts the accepted jobs, and those of them that were not in time, by
+	// the second of their acceptance since From.
 	Seconds []Second
 }
 
-// Queue sums up the jobs of one queue.
+// Queue summarises the jobs of one queue.
 type Queue struct {
 	Name string
-	// Accepted jobs; of these in time, late, worthless, failed and cancelled. The
-	// rest had no end in the logs. A job's time is its caller's: from its first try, at
-	// whatever instance, until any instance told that it is completed.
+	// Accepted is the number of accepted jobs; the other counts are those of them that
+	// were in time, late, worthless, failed and cancelled. The rest had no end in the
+	// logs. The time of a job is measured as its caller sees it: from its first
+	// submission at any instance until any instance reports it as completed.
 	Accepted, InTime, Late, Worthless, Failed, Cancelled int
-	// Path is how long the parts of a completed job's way took.
-	Path Path
-	// Where the time of jobs that were not in time went, mean milliseconds: until
-	// the planner saw them, waiting before the first start by reason, in runs that
-	// came to nothing, in the runs that completed them.
-	Unseen, Waited, Again, Worked float64
-	// ByReason is Waited by reason.
-	ByReason map[string]float64
+	// Phases are the durations of the phases of completed jobs.
+	Phases Phases
+	// Mean durations, in milliseconds, for completed jobs that were not in time:
+	// UnseenMS until the planner saw the job, WaitedMS waiting, WastedMS in runs that
+	// did not complete it, and WorkedMS in the run that completed it.
+	UnseenMS, WaitedMS, WastedMS, WorkedMS float64
+	// WaitedMSByReason is WaitedMS split by reason.
+	WaitedMSByReason map[string]float64
 }
 
-// Path is how long the parts of a job's way took, all completed jobs of a queue.
-type Path struct {
-	// Accepting is from the caller's first try to the acceptance, Starting from there to
-	// the first start, Running from there to the end as the planner knows it, Telling from
-	// there until a caller was told.
-	Accepting, Starting, Running, Telling Times
+// Phases contains the durations of each phase, for all completed jobs of a queue.
+type Phases struct {
+	// Accepting lasts from the caller's first submission to the acceptance, Starting
+	// until the first start, Running until the planner records the end, and Notifying
+	// until the end is reported to a caller.
+	Accepting, Starting, Running, Notifying Durations
 }
 
-// Times are durations of which some figures are of interest.
-type Times []time.Duration
+// Durations are samples of a duration, in any order.
+type Durations []time.Duration
 
-// Of returns the duration that a share of all don't exceed, in milliseconds; 0 if there
-// are none.
-func (t Times) Of(share float64) float64 {
+// QuantileMS returns the quantile of the given share, in milliseconds, or 0 if there
+// are no samples.
+func (t Durations) QuantileMS(share float64) float64 {
 	if len(t) == 0 {
 		return 0
 	}
@@ -73,10 +74,10 @@
 	return ms(sorted[min(len(sorted)-1, int(share*float64(len(sorted))))])
 }
 
-// Gap is a stretch without a planner.
+// Gap is a period without a planner. Start is relative to Report.From.
 type Gap struct {
-	At  time.Duration
-	For time.Duration
+	Start  time.Duration
+	Length time.Duration
 }
 
 // Second counts the jobs accepted within one second.
@@ -84,81 +85,82 @@
 	Accepted, NotInTime int
 }
 
-// job is what the logs tell of one.
+// job is the state of one job that was derived from the logs.
 type job struct {
-	queue             string
-	arrived, accepted time.Time
-	shown             time.Time
-	objective         time.Duration
-	seen, first, last time.Time
-	reason            string
-	since             time.Time
-	waits             map[string]time.Duration
-	outcome           string
-	worked            time.Duration
-	completed         time.Time
-	failed, cancelled bool
+	queue                       string
+	arrived, accepted           time.Time
+	notified                    time.Time
+	objective                   time.Duration
+	seen, firstStart, lastStart time.Time
+	waitReason                  string
+	waitingSince                time.Time
+	waits                       map[string]time.Duration
+	outcome                     string
+	worked                      time.Duration
+	completed                   time.Time
+	failed, cancelled           bool
 }
 
-// Make makes a report of the lines of logs, which are in the order of their times.
+// Make returns a report of log lines, which must be ordered by time.
 func Make(lines []events.Line) *Report {
-	b := &builder{r: newReport(), jobs: map[string]*job{}, tried: map[string]time.Time{}}
+	b := &builder{report: newReport(), jobs: map[string]*job{}, firstRefused: map[string]time.Time{}}
 	for _, l := range lines {
-		b.take(l)
+		b.addLine(l)
 	}
 	return b.finish()
 }
 
 func newReport() *Report {
-	return &Report{Waits: map[string]float64{}, Refused: map[string]int{}, Stopped: map[string]int{}, Thrown: map[string]float64{}, Ended: map[string]int{}}
+	return &Report{Waits: map[string]float64{}, Refused: map[string]int{}, Stopped: map[string]int{}, LostWork: map[string]float64{}, Ended: map[string]int{}}
 }
 
 type builder struct {
-	r *Report
-	// tried is when each job that was not accepted yet was first refused.
-	tried map[string]time.Time
-	jobs  map[string]*job
-	order []*job
-	plans int
-	idle  time.Time
+	report *Report
+	// firstRefused is the time at which each job that is not accepted yet was first
+	// refused.
+	firstRefused   map[string]time.Time
+	jobs           map[string]*job
+	order          []*job
+	activePlanners int
+	idleSince      time.Time
 }
 
-func (b *builder) take(l events.Line) {
-	if b.r.From.IsZero() {
-		b.r.From = l.At
-		b.idle = l.At
+func (b *builder) addLine(l events.Line) {
+	if b.report.From.IsZero() {
+		b.report.From = l.At
+		b.idleSince = l.At
 	}
-	b.r.To = l.At
-	why := text(l, "why")
+	b.report.To = l.At
+	why := stringField(l, "why")
 	switch l.Event {
 	case events.PlannerBegins:
-		if b.plans == 0 {
-			b.r.Gaps = append(b.r.Gaps, Gap{b.idle.Sub(b.r.From), l.At.Sub(b.idle)})
+		if b.activePlanners == 0 {
+			b.report.Gaps = append(b.report.Gaps, Gap{b.idleSince.Sub(b.report.From), l.At.Sub(b.idleSince)})
 		}
-		b.plans++
+		b.activePlanners++
 	case events.PlannerEnds:
-		if b.plans--; b.plans <= 0 {
-			b.plans, b.idle = 0, l.At
+		if b.activePlanners--; b.activePlanners <= 0 {
+			b.activePlanners, b.idleSince = 0, l.At
 		}
 	case events.JobRefused:
-		b.r.Refused[text(l, "reason")+" "+text(l, "outcome")]++
+		b.report.Refused[stringField(l, "reason")+" "+stringField(l, "outcome")]++
 	case "run-stopping":
-		b.r.Stopped[why]++
-		b.r.Thrown[why] += number(field(text(l, "detail"), "core_s"))
+		b.report.Stopped[why]++
+		b.report.LostWork[why] += parseNumber(detailField(stringField(l, "detail"), "core_s"))
 	case "run-ended":
-		b.r.Ended[why]++
+		b.report.Ended[why]++
 	}
-	if id := text(l, "job"); id != "" {
-		b.takeJob(id, l, why)
+	if id := stringField(l, "job"); id != "" {
+		b.addJobLine(id, l, why)
 	}
 }
 
-func (b *builder) takeJob(id string, l events.Line, why string) {
+func (b *builder) addJobLine(id string, l events.Line, why string) {
 	if l.Event == events.JobAccepted {
 		if b.jobs[id] == nil {
-			took := time.Duration(number(text(l, "took_ms"))) * time.Millisecond
-			j := &job{queue: text(l, "queue"), accepted: l.At, arrived: l.At.Add(-took), waits: map[string]time.Duration{}}
-			if first, tried := b.tried[id]; tried && first.Before(j.arrived) {
+			took := time.Duration(parseNumber(stringField(l, "took_ms"))) * time.Millisecond
+			j := &job{queue: stringField(l, "queue"), accepted: l.At, arrived: l.At.Add(-took), waits: map[string]time.Duration{}}
+			if first, refused := b.firstRefused[id]; refused && first.Before(j.arrived) {
 				j.arrived = first
 			}
 			b.jobs[id] = j
@@ -168,29 +170,29 @@
 	}
 	j := b.jobs[id]
 	if j == nil {
-		if _, tried := b.tried[id]; l.Event == events.JobRefused && !tried {
-			b.tried[id] = l.At
+		if _, refused := b.firstRefused[id]; l.Event == events.JobRefused && !refused {
+			b.firstRefused[id] = l.At
 		}
 		return
 	}
 	switch l.Event {
 	case "unit-waits":
-		j.see(l.At)
-		j.wait(l.At, why)
+		j.markSeen(l.At)
+		j.setWaitReason(l.At, why)
 	case "unit-started":
-		j.see(l.At)
-		j.wait(l.At, "")
-		j.last = l.At
-		if j.first.IsZero() {
-			j.first = l.At
+		j.markSeen(l.At)
+		j.setWaitReason(l.At, "")
+		j.lastStart = l.At
+		if j.firstStart.IsZero() {
+			j.firstStart = l.At
 		}
 	case "job-completed":
 		j.outcome, j.completed = why, l.At
-		j.worked = time.Duration(number(field(text(l, "detail"), "worked_ms"))) * time.Millisecond
-		j.objective = time.Duration(number(field(text(l, "detail"), "objective_ms"))) * time.Millisecond
+		j.worked = time.Duration(parseNumber(detailField(stringField(l, "detail"), "worked_ms"))) * time.Millisecond
+		j.objective = time.Duration(parseNumber(detailField(stringField(l, "detail"), "objective_ms"))) * time.Millisecond
 	case events.JobShown:
-		if j.shown.IsZero() {
-			j.shown = l.At
+		if j.notified.IsZero() {
+			j.notified = l.At
 		}
 	case "job-failed":
 		j.failed = true
@@ -199,18 +201,19 @@
 	}
 }
 
-func (j *job) see(at time.Time) {
+func (j *job) markSeen(at time.Time) {
 	if j.seen.IsZero() {
 		j.seen = at
 	}
 }
 
-// wait ends the wait for one reason and begins that for another.
-func (j *job) wait(at time.Time, reason string) {
-	if j.reason != "" {
-		j.waits[j.reason] += at.Sub(j.since)
+// setWaitReason ends the wait for the current reason and starts one for another; an
+// empty reason means that the job no longer waits.
+func (j *job) setWaitReason(at time.Time, reason string) {
+	if j.waitReason != "" {
+		j.waits[j.waitReason] += at.Sub(j.waitingSince)
 	}
-	j.reason, j.since = reason, at
+	j.waitReason, j.waitingSince = reason, at
 }
 
 func (b *builder) finish() *Report {
@@ -218,73 +221,74 @@
 	for _, j := range b.order {
 		q := queues[j.queue]
 		if q == nil {
-			q = &Queue{Name: j.queue, ByReason: map[string]float64{}}
+			q = &Queue{Name: j.queue, WaitedMSByReason: map[string]float64{}}
 			queues[j.queue] = q
 		}
 		q.add(j)
 		for reason, d := range j.waits {
-			b.r.Waits[reason] += d.Seconds()
+			b.report.Waits[reason] += d.Seconds()
 		}
-		b.second(j)
+		b.countSecond(j)
 	}
 	for _, q := range queues {
-		q.mean()
-		b.r.Queues = append(b.r.Queues, *q)
+		q.computeMeans()
+		b.report.Queues = append(b.report.Queues, *q)
 	}
-	slices.SortFunc(b.r.Queues, func(a, c Queue) int { return strings.Compare(a.Name, c.Name) })
-	return b.r
+	slices.SortFunc(b.report.Queues, func(a, c Queue) int { return strings.Compare(a.Name, c.Name) })
+	return b.report
 }
 
-func (b *builder) second(j *job) {
-	n := int(j.accepted.Sub(b.r.From).Seconds())
-	for len(b.r.Seconds) <= n {
-		b.r.Seconds = append(b.r.Seconds, Second{})
+func (b *builder) countSecond(j *job) {
+	n := int(j.accepted.Sub(b.report.From).Seconds())
+	for len(b.report.Seconds) <= n {
+		b.report.Seconds = append(b.report.Seconds, Second{})
 	}
-	b.r.Seconds[n].Accepted++
+	b.report.Seconds[n].Accepted++
 	if !j.cancelled && j.outcome != "in-time" {
-		b.r.Seconds[n].NotInTime++
+		b.report.Seconds[n].NotInTime++
 	}
 }
 
-// lateFactor is how many times its objective a job may take and still be worth a part.
-const lateFactor = 3
+// maxLateFactor is the multiple of its objective up to which a job counts as late;
+// beyond it, its result counts as worthless.
+const maxLateFactor = 3
 
-// sight replaces the planner's view of the outcome by the caller's, where both the
-// objective and the time at which a caller was told are known.
-func (j *job) sight() {
+// applyCallerOutcome replaces the outcome that the planner reported by the one that
+// the caller saw, if the job completed and its objective is known.
+func (j *job) applyCallerOutcome() {
 	if j.completed.IsZero() || j.objective == 0 {
 		return
 	}
-	if j.shown.Before(j.completed) {
-		// Nobody asked after its end, or the lines that would tell were left out.
-		j.shown = j.completed
+	if j.notified.Before(j.completed) {
+		// No caller asked after its end, or the lines that report it were dropped.
+		j.notified = j.completed
 	}
-	switch took := j.shown.Sub(j.arrived); {
+	switch took := j.notified.Sub(j.arrived); {
 	case took <= j.objective:
 		j.outcome = "in-time"
-	case took <= lateFactor*j.objective:
+	case took <= maxLateFactor*j.objective:
 		j.outcome = "late"
 	default:
 		j.outcome = "worthless"
 	}
 }
 
-func (p *Path) add(j *job) {
-	if j.first.IsZero() || j.completed.IsZero() || j.first.Before(j.accepted) {
+func (p *Phases) add(j *job) {
+	if j.firstStart.IsZero() || j.completed.IsZero() || j.firstStart.Before(j.accepted) {
 		return
 	}
 	p.Accepting = append(p.Accepting, j.accepted.Sub(j.arrived))
-	p.Starting = append(p.Starting, j.first.Sub(j.accepted))
-	p.Running = append(p.Running, j.completed.Sub(j.first))
-	if j.shown.After(j.completed) {
-		p.Telling = append(p.Telling, j.shown.Sub(j.completed))
+	p.Starting = append(p.Starting, j.firstStart.Sub(j.accepted))
+	p.Running = append(p.Running, j.completed.Sub(j.firstStart))
+	if j.notified.After(j.completed) {
+		p.Notifying = append(p.Notifying, j.notified.Sub(j.completed))
 	}
 }
 
 func (q *Queue) add(j *job) {
 	q.Accepted++
-	j.sight()
-	q.Path.add(j)
+	j.applyCallerOutcome()
+	q.Phases.add(j)
 	switch {
 	case j.cancelled:
 		q.Cancelled++
@@ -303,44 +307,44 @@
 		return
 	}
 	if j.seen.IsZero() {
-		// The lines that would tell were left out.
+		// The lines that report it were dropped.
 		j.seen = j.accepted
 	}
-	q.Unseen += ms(max(0, j.seen.Sub(j.accepted)))
+	q.UnseenMS += ms(max(0, j.seen.Sub(j.accepted)))
 	waited := time.Duration(0)
 	for reason, d := range j.waits {
-		q.ByReason[reason] += ms(d)
+		q.WaitedMSByReason[reason] += ms(d)
 		waited += d
 	}
-	q.Waited += ms(waited)
-	q.Worked += ms(j.worked)
-	q.Again += ms(max(0, j.completed.Sub(j.seen)-waited-j.worked))
+	q.WaitedMS += ms(waited)
+	q.WorkedMS += ms(j.worked)
+	q.WastedMS += ms(max(0, j.completed.Sub(j.seen)-waited-j.worked))
 }
 
-func (q *Queue) mean() {
+func (q *Queue) computeMeans() {
 	n := float64(q.Late + q.Worthless)
 	if n == 0 {
 		return
 	}
-	for _, sum := range []*float64{&q.Unseen, &q.Waited, &q.Again, &q.Worked} {
+	for _, sum := range []*float64{&q.UnseenMS, &q.WaitedMS, &q.WastedMS, &q.WorkedMS} {
 		*sum /= n
 	}
-	for reason := range q.ByReason {
-		q.ByReason[reason] /= n
+	for reason := range q.WaitedMSByReason {
+		q.WaitedMSByReason[reason] /= n
 	}
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func text(l events.Line, name string) string {
+func stringField(l events.Line, name string) string {
 	if v, ok := l.Fields[name]; ok {
 		return fmt.Sprint(v)
 	}
 	return ""
 }
 
-// field finds name=value in a line's detail.
-func field(detail, name string) string {
+// detailField returns the value of name=value in a line's detail, or "".
+func detailField(detail, name string) string {
 	for _, part := range strings.Fields(detail) {
 		if value, ok := strings.CutPrefix(part, name+"="); ok {
 			return value
@@ -349,7 +353,7 @@
 	return ""
 }
 
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0
--- a/events/report/report_test.go
+++ b/events/report/report_test.go
@@ -13,7 +13,7 @@
 	"github.com/cobalttide/cobalttide/events"
 )
 
-const someLog = `
+const sampleLog = `
 {"instance":"a","level":"info","msg":"started","time":"2026-12-02T10:00:00.000Z"}
 {"instance":"a","level":"info","msg":"planner-begins","token":1,"time":"2026-12-02T10:00:01.000Z"}
 {"instance":"b","job":"x","queue":"q","level":"info","msg":"job-accepted","time":"2026-12-02T10:00:02.000Z"}
@@ -37,9 +37,9 @@
 {"instance":"b","level":"info","msg":"planner-begins","token":9,"time":"2026-12-02T10:00:09.500Z"}
 `
 
-func made(t *testing.T) *Report {
+func makeReport(t *testing.T) *Report {
 	t.Helper()
-	lines, err := events.Lines([]io.Reader{strings.NewReader(someLog)})
+	lines, err := events.Lines([]io.Reader{strings.NewReader(sampleLog)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,17 +48,17 @@
 
 func TestAReportTellsWhereTheTimeOfLateJobsWent(t *testing.T) {
 	var out bytes.Buffer
-	if err := made(t).Write(&out); err != nil {
+	if err := makeReport(t).Write(&out); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "report", out.Bytes())
 }
 
-// A job counts as its caller saw it: tried in vain before it was accepted, and told
-// after its end.
+// Guards against measuring a job by the planner's times: its caller was refused before
+// the acceptance and learned of the end only after it.
 func TestAJobIsInTimeIfItsCallerWasToldInTime(t *testing.T) {
-	for _, q := range made(t).Queues {
-		if q.Name == "r" && (q.InTime != 0 || q.Late != 1 || q.Path.Accepting.Of(0.5) != 1500 || q.Path.Telling.Of(0.5) != 200) {
+	for _, q := range makeReport(t).Queues {
+		if q.Name == "r" && (q.InTime != 0 || q.Late != 1 || q.Phases.Accepting.QuantileMS(0.5) != 1500 || q.Phases.Notifying.QuantileMS(0.5) != 200) {
 			t.Fatalf("%+v", q)
 		}
 	}
@@ -66,7 +66,7 @@
 
 func TestAReportIsPlotted(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "late.svg")
-	if err := made(t).Plot(file); err != nil {
+	if err := makeReport(t).Plot(file); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(file); err != nil || !bytes.Contains(text, []byte("<svg")) {
--- a/events/report/write.go
+++ b/events/report/write.go
@@ -20,13 +20,13 @@
 	fmt.Fprintln(w, "queue\taccepted\tin time\tlate\tworthless\tfailed\tcancelled\tunseen ms\twaited ms\tagain ms\tworked ms\twaited for, ms")
 	for _, q := range r.Queues {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%s\n", q.Name, q.Accepted, q.InTime, q.Late, q.Worthless,
-			q.Failed, q.Cancelled, q.Unseen, q.Waited, q.Again, q.Worked, largest(q.ByReason))
+			q.Failed, q.Cancelled, q.UnseenMS, q.WaitedMS, q.WastedMS, q.WorkedMS, largest(q.WaitedMSByReason))
 	}
 	fmt.Fprintln(w, "\nway of a job, middle/95 of 100 in ms:\taccepting\tstarting\trunning\ttelling")
 	for _, q := range r.Queues {
 		fmt.Fprintf(w, "%s", q.Name)
-		for _, part := range []Times{q.Path.Accepting, q.Path.Starting, q.Path.Running, q.Path.Telling} {
-			fmt.Fprintf(w, "\t%.0f/%.0f", part.Of(0.5), part.Of(0.95))
+		for _, part := range []Durations{q.Phases.Accepting, q.Phases.Starting, q.Phases.Running, q.Phases.Notifying} {
+			fmt.Fprintf(w, "\t%.0f/%.0f", part.QuantileMS(0.5), part.QuantileMS(0.95))
 		}
 		fmt.Fprintln(w)
 	}
@@ -34,14 +34,14 @@
 	fmt.Fprintln(w, "refused:\t", largest(r.Refused))
 	fmt.Fprintln(w, "ends of runs:\t", largest(r.Ended))
 	fmt.Fprintln(w, "stopped:\t", largest(r.Stopped))
-	fmt.Fprintln(w, "thrown away by stops, core-seconds:\t", largest(r.Thrown))
+	fmt.Fprintln(w, "thrown away by stops, core-seconds:\t", largest(r.LostWork))
 	for _, g := range r.Gaps {
-		fmt.Fprintf(w, "nobody planned:\tfrom %.1f s for %.1f s\n", g.At.Seconds(), g.For.Seconds())
+		fmt.Fprintf(w, "nobody planned:\tfrom %.1f s for %.1f s\n", g.Start.Seconds(), g.Length.Seconds())
 	}
 	return w.Flush()
 }
 
-// largest writes a map, the largest value first.
+// largest formats a map with the largest value first.
 func largest[V cmp.Ordered](m map[string]V) string {
 	names := slices.SortedFunc(maps.Keys(m), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m[b], m[a]), cmp.Compare(a, b))
@@ -58,14 +58,14 @@
 	return out
 }
 
-// Size of a plot.
+// Size of the plot.
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 3 * vg.Inch
 )
 
-// Plot draws, second by second of their acceptance, how many jobs there were
-// and how many of them were not in time. The file's ending says its format.
+// Plot draws the number of accepted jobs, and of those that were not in time, by
+// second of acceptance. The file name's extension selects the format.
 func (r *Report) Plot(file string) error {
 	p := plot.New()
 	p.Title.Text = "jobs by second of acceptance"
@@ -83,7 +83,7 @@
 		if err != nil {
 			return err
 		}
-		drawn.Color = colours[i]
+		drawn.Color = lineColours[i]
 		p.Add(drawn)
 		p.Legend.Add(line.name, drawn)
 	}
--- a/events/story.go
+++ b/events/story.go
@@ -19,23 +19,23 @@
 	Fields   map[string]any
 }
 
-// background events concern every job: who plans, what can be reached and which
-// configuration is in force.
-var background = map[Name]bool{
+// globalEvents are the events that concern every job: changes of the planner, of the
+// reachability of dependencies, and of the configuration in force.
+var globalEvents = map[Name]bool{
 	PlannerBegins: true, PlannerEnds: true, ConfigurationInForce: true,
 	DependencyLost: true, DependencyRegained: true, Started: true, Stopping: true,
 }
 
-// longestLine bounds a line of a log.
-const longestLine = 1 << 20
+// maxLineLength is the maximum length of a log line in bytes.
+const maxLineLength = 1 << 20
 
-// Lines reads the events of logs of instances, which may have text before each
-// line's JSON, in the order of their times.
+// Lines reads the events in the logs of instances and returns them ordered by time.
+// Each line may have text before its JSON; lines that are not events are skipped.
 func Lines(logs []io.Reader) ([]Line, error) {
 	var out []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, longestLine)
+		scanner.Buffer(nil, maxLineLength)
 		for scanner.Scan() {
 			if line, ok := parseLine(scanner.Bytes()); ok {
 				out = append(out, line)
@@ -49,8 +49,8 @@
 	return out, nil
 }
 
-// Story returns what concerns one job, in order: its own events, and between its
-// first and last those that concern every job, where all is set.
+// Story returns the history of one job, ordered by time: its own events and, if all
+// is set, the events between its first and last that concern every job.
 func Story(logs []io.Reader, job string, all bool) ([]Line, error) {
 	lines, err := Lines(logs)
 	if err != nil {
@@ -69,7 +69,7 @@
 	var out []Line
 	for _, l := range lines {
 		within := !l.At.Before(first) && !l.At.After(last)
-		if l.Fields["job"] == job || (background[l.Event] && within) {
+		if l.Fields["job"] == job || (globalEvents[l.Event] && within) {
 			out = append(out, l)
 		}
 	}
@@ -96,7 +96,7 @@
 	return line, true
 }
 
-// Format writes a story's lines with the time since its first.
+// Format writes the lines of a story, each with the time since the first.
 func Format(out io.Writer, story []Line) error {
 	for _, l := range story {
 		names := make([]string, 0, len(l.Fields))
--- a/events/story_test.go
+++ b/events/story_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-const someLog = `  1.0 edge-1 {"instance":"edge-1","job":"a","level":"info","msg":"job-accepted","took_ms":6,"time":"2026-12-02T10:00:01.000Z"}
+const firstLog = `  1.0 edge-1 {"instance":"edge-1","job":"a","level":"info","msg":"job-accepted","took_ms":6,"time":"2026-12-02T10:00:01.000Z"}
 not a line of ours
 {"instance":"edge-1","level":"info","msg":"planner-begins","token":3,"time":"2026-12-02T10:00:02.000Z"}
 {"instance":"edge-1","level":"info","msg":"planner-begins","token":9,"time":"2026-12-02T10:00:09.000Z"}
 {"instance":"edge-1","job":"b","level":"info","msg":"job-accepted","time":"2026-12-02T10:00:01.500Z"}
 `
 
-const otherLog = `{"instance":"edge-2","job":"a","level":"info","msg":"job-completed","token":3,"time":"2026-12-02T10:00:04.250Z"}
+const secondLog = `{"instance":"edge-2","job":"a","level":"info","msg":"job-completed","token":3,"time":"2026-12-02T10:00:04.250Z"}
 `
 
 func TestAStoryJoinsTheLogsOfInstancesInOrder(t *testing.T) {
-	story, err := Story([]io.Reader{strings.NewReader(otherLog), strings.NewReader(someLog)}, "a", true)
+	story, err := Story([]io.Reader{strings.NewReader(secondLog), strings.NewReader(firstLog)}, "a", true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,6 +35,6 @@
 		text = text[i:]
 	}
 	if strings.Contains(out.String(), "token=9") {
-		t.Fatal("an event after the job's end is told")
+		t.Fatal("an event after the job's last is included")
 	}
 }
