--- a/workload/control/workers.go
+++ b/workload/control/workers.go
@@ -11,73 +11,74 @@
 // lapseSlack is added to the computed end of a lease.
 const lapseSlack = 100 * time.Millisecond
 
-// worker is what the planner knows of a worker: what its newest entry in the list says, and
-// the life that answers under its id.
+// worker is what the planner knows of a worker: its newest entry in the list, and the incarnation
+// that answers under its id.
 type worker struct {
 	Listing
-	life
+	incarnation
 	listed     bool
 	unlistedAt time.Time
-	// departed tells that its entry was removed since it has left, as far as the list tells.
+	// departed is set if the removal of its entry shows that it has left.
 	departed bool
 	labels   map[string]bool
-	// problem is what is wrong with the birth that it last told.
+	// problem is what is wrong with the start time that it last reported.
 	problem string
-	// gone workers never come back but as another life.
-	gone  bool
-	tasks map[workload.TaskID]*live
-	// holding tells that a hold is under way, the one numbered asked. The answers to those
-	// before it count for nothing: they may have overtaken one another.
-	holding bool
-	asked   int
-	holdAt  time.Time
-	// coldUntil is when the worker is as fast as ever after its start; zero is now.
-	coldUntil time.Time
+	// gone is set once the current incarnation is known to have ended. The worker can only come
+	// back as another incarnation.
+	gone bool
+	runs map[workload.TaskID]*activeRun
+	// renewalInFlight is set while a lease renewal is in flight, the one with renewalNumber.
+	// Answers to earlier ones are ignored, since they may have overtaken one another.
+	renewalInFlight bool
+	renewalNumber   int
+	nextRenewalAt   time.Time
+	// warmupUntil is when the worker has warmed up; zero is now.
+	warmupUntil time.Time
 	// leavesAt is when a draining worker may be gone; zero is never.
 	leavesAt time.Time
-	// doubt tells that the list shows another life than the one that has answered, left that
-	// the one before had said that it leaves.
-	doubt, left bool
-	// token fences the worker's orders; orderToken is that of the last one but holds.
-	token, orderToken int64
-	// strayUntil is until when an order without an answer may still be carried out.
-	strayUntil time.Time
+	// restartSuspected is set if the list shows another incarnation than the one that has
+	// answered, previousDrained if the incarnation before that was draining.
+	restartSuspected, previousDrained bool
+	// token fences the worker's orders. lastOrderToken is the token of the last start order.
+	token, lastOrderToken int64
+	// strayOrdersUntil is until when an unanswered order may still be carried out.
+	strayOrdersUntil time.Time
 }
 
-// stretched is the time that a lease lasts at most by our clock.
-func stretched(lease time.Duration) time.Duration {
+// maxLeaseTime returns the longest time that a lease can last by the planner's clock.
+func maxLeaseTime(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) / (1 - clockDrift))
 }
 
 func newWorker(id string, token int64) *worker {
-	return &worker{Listing: Listing{ID: id}, life: newLife(1, 0), tasks: map[workload.TaskID]*live{}, token: token}
+	return &worker{Listing: Listing{ID: id}, incarnation: newIncarnation(1, 0), runs: map[workload.TaskID]*activeRun{}, token: token}
 }
 
-// takeListing takes a worker's newest entry over.
+// takeListing updates a worker from its newest entry.
 func (c *Core) takeListing(w *worker, l Listing, now time.Time) {
 	if l.Draining && !w.Draining {
-		c.note(Note{Event: EventWorkerDraining, Worker: l.ID})
+		c.emit(Note{Event: EventWorkerDraining, Worker: l.ID})
 	}
 	if l.Unreadable && !w.Unreadable {
-		c.note(Note{Event: EventWorkerUnreadable, Worker: l.ID})
+		c.emit(Note{Event: EventWorkerUnreadable, Worker: l.ID})
 	}
 	resized := w.Capacity != l.Capacity && w.Address != ""
-	c.doubted(w, l, now)
-	w.leaving(l, now)
-	w.warming(l, now)
+	c.checkListedStart(w, l, now)
+	w.updateLeavesAt(l, now)
+	w.updateWarmup(l, now)
 	if w.labels == nil || !slices.Equal(w.Labels, l.Labels) {
-		w.labels = labelled(l.Labels)
+		w.labels = labelSet(l.Labels)
 	}
 	w.Listing = l
 	if resized {
-		c.note(Note{Event: EventWorkerResized, Worker: l.ID, Detail: fmt.Sprintf("cpu=%d mem_mib=%d accelerators=%d over=%t", l.Capacity.MilliCPU, l.Capacity.MemoryMiB, l.Capacity.Accelerators, w.free().Short())})
+		c.emit(Note{Event: EventWorkerResized, Worker: l.ID, Detail: fmt.Sprintf("cpu=%d mem_mib=%d accelerators=%d over=%t", l.Capacity.MilliCPU, l.Capacity.MemoryMiB, l.Capacity.Accelerators, w.freeCapacity().Short())})
 	}
-	if l.Born == w.born || !w.ever {
+	if l.Born == w.startMS || !w.everReached {
 		c.readClock(w, l.ClockMS, now)
 	}
 }
 
-func labelled(labels []string) map[string]bool {
+func labelSet(labels []string) map[string]bool {
 	out := make(map[string]bool, len(labels))
 	for _, label := range labels {
 		out[label] = true
@@ -85,107 +86,108 @@
 	return out
 }
 
-// readClock takes a reading of the worker's clock that is already past. Only
-// readings that move the known lower bound forward count.
+// readClock records a past reading of the worker's clock. Only readings that raise the known
+// lower bound count.
 func (c *Core) readClock(w *worker, clockMS int64, now time.Time) {
 	if clockMS == 0 {
 		return
 	}
-	if w.clockMS != 0 && clockMS < w.clockNow(now) {
+	if w.clockMS != 0 && clockMS < w.clockLowerBound(now) {
 		return
 	}
 	w.clockMS = clockMS
 	w.clockAt = now
 }
 
-// clockNow is a lower bound of the worker's clock.
-func (w *worker) clockNow(now time.Time) int64 {
-	passed := now.Sub(w.clockAt)
-	return w.clockMS + int64(float64(passed.Milliseconds())*(1-clockDrift))
+// clockLowerBound returns a lower bound of the worker's clock.
+func (w *worker) clockLowerBound(now time.Time) int64 {
+	elapsed := now.Sub(w.clockAt)
+	return w.clockMS + int64(float64(elapsed.Milliseconds())*(1-clockDrift))
 }
 
-// deadline returns the deadline for the next order. It is not raised while the
-// worker does not answer, so that its lease comes to an end.
-func (c *Core) deadline(w *worker, now time.Time) int64 {
-	if w.clockMS == 0 || (w.ever && !w.met) {
+// nextDeadline returns the deadline for the next order. It is not extended while the worker does
+// not answer, so that its lease expires.
+func (c *Core) nextDeadline(w *worker, now time.Time) int64 {
+	if w.clockMS == 0 || (w.everReached && !w.reachable) {
 		return w.deadlineMS
 	}
-	w.deadlineMS = max(w.deadlineMS, w.clockNow(now)+c.bounds.Lease.Milliseconds())
+	w.deadlineMS = max(w.deadlineMS, w.clockLowerBound(now)+c.bounds.Lease.Milliseconds())
 	return w.deadlineMS
 }
 
-// lapsed tells whether everything on a worker that does not answer must have
-// been killed by the end of its lease.
-func (c *Core) lapsed(w *worker, now time.Time) bool {
-	if w.met {
+// hasLapsed reports whether all runs on an unreachable worker must have been killed at the end of
+// its lease.
+func (c *Core) hasLapsed(w *worker, now time.Time) bool {
+	if w.reachable {
 		return false
 	}
-	if !w.ever && now.Before(c.strangersUntil) {
+	if !w.everReached && now.Before(c.inheritedLeasesEnd) {
 		return false
 	}
 	if w.deadlineMS == 0 {
 		return true
 	}
 	left := time.Duration(w.deadlineMS-w.clockMS) * time.Millisecond
-	return now.After(w.clockAt.Add(stretched(left) + lapseSlack))
+	return now.After(w.clockAt.Add(maxLeaseTime(left) + lapseSlack))
 }
 
-// goneFrom takes an answer that another worker is at an address. One from an address that
-// the worker has left says nothing of it.
-func (c *Core) goneFrom(w *worker, address string, now time.Time) {
+// handleGone handles an answer that another worker is at an address. It is ignored if the worker
+// has left that address.
+func (c *Core) handleGone(w *worker, address string, now time.Time) {
 	if address == w.Address || address == "" {
-		c.lose(w, whyAnotherLife, now)
+		c.declareGone(w, reasonAnotherIncarnation, now)
 	}
 }
 
-// lose settles everything on a life that is gone for good.
-func (c *Core) lose(w *worker, why string, now time.Time) {
+// declareGone settles everything on an incarnation that has ended.
+func (c *Core) declareGone(w *worker, reason string, now time.Time) {
 	if w.gone {
 		return
 	}
 	w.gone = true
-	w.met = false
-	c.note(Note{Event: EventWorkerGone, Worker: w.ID, Why: why})
-	c.release(w, why, now)
+	w.reachable = false
+	c.emit(Note{Event: EventWorkerGone, Worker: w.ID, Why: reason})
+	c.releaseRuns(w, reason, now)
 }
 
-// silence notes a call without an answer.
-func (c *Core) silence(w *worker, now time.Time) {
-	if w.met {
-		w.silent = now
-		c.raise(w)
-		if w.holding {
-			// It waits for news, and what is asked for now is who is there.
-			w.holding, w.holdAt = false, now
+// markSilent records an unanswered call.
+func (c *Core) markSilent(w *worker, now time.Time) {
+	if w.reachable {
+		w.silentSince = now
+		c.raiseToken(w)
+		if w.renewalInFlight {
+			// The call in flight waits for changes, but what matters now is which incarnation
+			// answers.
+			w.renewalInFlight, w.nextRenewalAt = false, now
 		}
-		c.note(Note{Event: EventWorkerSilent, Worker: w.ID})
+		c.emit(Note{Event: EventWorkerSilent, Worker: w.ID})
 	}
-	w.met = false
+	w.reachable = false
 }
 
-// strangersAtOnce bounds the workers with nothing to hold that are met for the first time in one
-// look: a planner that begins would else make a connection to each of thousands in one moment,
-// before those whose leases run out.
-const strangersAtOnce = 500
+// maxFirstPolls limits the workers without runs that are polled for the first time in one pass.
+// Otherwise a new planner would connect to thousands at once, ahead of those whose leases are
+// about to expire.
+const maxFirstPolls = 500
 
-// NeedsHold lists the workers that have something to be held, to be asked
-// about or to be told, and no hold under way.
+// NeedsHold lists the workers that need a lease renewal, a poll or an acknowledgement, and have
+// no renewal in flight.
 func (c *Core) NeedsHold(now time.Time) []string {
 	var out []string
 	probes := map[string]int{}
-	silent := c.anySilent()
-	strangers := 0
-	for _, w := range c.inOrder {
+	anySilent := c.hasSilentCentre()
+	firstPolls := 0
+	for _, w := range c.workersByID {
 		switch {
-		case w.holding || now.Before(w.holdAt):
-		case !w.ever && len(w.tasks) == 0 && strangers == strangersAtOnce:
-			// Its turn comes with the next looks.
-		case c.wantsHold(w, now):
+		case w.renewalInFlight || now.Before(w.nextRenewalAt):
+		case !w.everReached && len(w.runs) == 0 && firstPolls == maxFirstPolls:
+			// It is polled in one of the next passes.
+		case c.wantsRenewal(w, now):
 			out = append(out, w.ID)
-			if !w.ever && len(w.tasks) == 0 {
-				strangers++
+			if !w.everReached && len(w.runs) == 0 {
+				firstPolls++
 			}
-		case silent && c.probes(w) && probes[w.DataCentre] < probesOfCentre:
+		case anySilent && c.isProbed(w) && probes[w.DataCentre] < maxProbesPerCentre:
 			probes[w.DataCentre]++
 			out = append(out, w.ID)
 		}
@@ -193,50 +195,50 @@
 	return out
 }
 
-func (c *Core) wantsHold(w *worker, now time.Time) bool {
+func (c *Core) wantsRenewal(w *worker, now time.Time) bool {
 	if w.gone || w.Address == "" {
 		return false
 	}
-	if len(w.tasks) > 0 || len(w.strange) > 0 || w.cursor > w.told || len(w.unapplied) > 0 {
+	if len(w.runs) > 0 || len(w.unexpectedRuns) > 0 || w.persistedEnd > w.acknowledgedEnd || len(w.unappliedEnds) > 0 {
 		return true
 	}
-	return w.listed && (!w.met || w.doubt || now.Before(w.strayUntil))
+	return w.listed && (!w.reachable || w.restartSuspected || now.Before(w.strayOrdersUntil))
 }
 
-// probes tells whether an idle worker is asked to see whether its data centre
-// answers again.
-func (c *Core) probes(w *worker) bool { return w.listed && !w.gone && w.Address != "" && c.cutOff(w) }
+// isProbed reports whether an idle worker is polled to check whether its data centre is reachable
+// again.
+func (c *Core) isProbed(w *worker) bool { return w.listed && !w.gone && w.Address != "" && c.cutOff(w) }
 
-// Hold returns the next hold of a worker; ok is false if it needs none.
+// Hold returns the next lease renewal of a worker. ok is false if it needs none.
 func (c *Core) Hold(id string, now time.Time) (HoldOrder, bool) {
 	w := c.workers[id]
-	if w == nil || w.holding || (!c.wantsHold(w, now) && !c.probes(w)) || now.Before(w.holdAt) {
+	if w == nil || w.renewalInFlight || (!c.wantsRenewal(w, now) && !c.isProbed(w)) || now.Before(w.nextRenewalAt) {
 		return HoldOrder{}, false
 	}
-	w.holding = true
-	w.asked++
-	w.heldMS = w.clockMS
-	order := HoldOrder{Worker: id, Address: w.Address, Life: w.number, Number: w.asked, Token: w.token}
-	if w.met && !w.doubt && w.cursor > w.told {
-		// Told once is enough, and never while it is not known who answers: another life
-		// would forget as many ends that nobody has read.
-		order.Cursor = w.cursor
-		c.note(Note{Event: EventEndsAcknowledged, Worker: id, Detail: fmt.Sprintf("before=%d cursor=%d seen=%d", w.told, w.cursor, w.seen)})
+	w.renewalInFlight = true
+	w.renewalNumber++
+	w.renewalClockMS = w.clockMS
+	order := HoldOrder{Worker: id, Address: w.Address, Life: w.number, Number: w.renewalNumber, Token: w.token}
+	if w.reachable && !w.restartSuspected && w.persistedEnd > w.acknowledgedEnd {
+		// One acknowledgement is enough. It must not be sent while it is unknown which
+		// incarnation answers: another one would forget as many ends that nobody has read.
+		order.Cursor = w.persistedEnd
+		c.emit(Note{Event: EventEndsAcknowledged, Worker: id, Detail: fmt.Sprintf("before=%d cursor=%d seen=%d", w.acknowledgedEnd, w.persistedEnd, w.receivedEnd)})
 		order.To = w.recipient(now)
 	}
-	if w.met {
-		order.DeadlineMS = c.deadline(w, now)
-		order.Wait = c.lookAgain(w, c.bounds.Wait)
+	if w.reachable {
+		order.DeadlineMS = c.nextDeadline(w, now)
+		order.Wait = c.boundPollWait(w, c.bounds.Wait)
 	} else {
 		order.DeadlineMS = w.deadlineMS
 	}
-	if len(w.strange) > 0 || w.seen > w.cursor {
-		// Ends that are still listed would be answered at once.
+	if len(w.unexpectedRuns) > 0 || w.receivedEnd > w.persistedEnd {
+		// Ends that are still listed would be returned at once anyway.
 		order.Wait = 0
 	}
-	if len(w.tasks) == 0 {
+	if len(w.runs) == 0 {
 		order.DeadlineMS = 0
-		if !now.Before(w.strayUntil) {
+		if !now.Before(w.strayOrdersUntil) {
 			order.Wait = 0
 		}
 	}
