--- a/planner/plan.go
+++ b/planner/plan.go
@@ -93,7 +93,7 @@
 	for _, held := range plan.Held {
 		c.held[held.Job] = held
 	}
-	if !plan.Binding.Same(c.binding) {
+	if !plan.Binding.Equal(c.binding) {
 		id := fmt.Sprintf("binding/%d/%s/%d", c.Token.Epoch, c.Token.Holder, in.Now.UnixNano())
 		c.emit(id, state.KindBinding, state.BindingChanged{Binding: plan.Binding})
 	}
--- a/scheduler/admission/admission.go
+++ b/scheduler/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission checks a submitted job before anything is recorded: its
-// fields, its class and team, and whether the fleet could ever run it. Each
-// check is a filter; all are pure functions.
+// Package admission validates a submitted job before anything is recorded: its fields, its
+// class and team, and whether the data centre could ever run it. Each check is a filter;
+// all filters are pure functions.
 package admission
 
 import (
@@ -16,23 +16,23 @@
 	"github.com/cobalttide/cobalttide/scheduler/placement"
 )
 
-// Snapshot is what a check depends on besides the job.
+// Snapshot is the state that the checks read besides the job.
 type Snapshot struct {
 	Declarations configuration.Declarations
-	// Workers are the data centre's as the platform lists them; empty when no
-	// list has been read yet, and then nothing is called never-runnable.
+	// Workers are the workers of the data centre as the platform lists them. While no list
+	// has been read it is empty, and no job is refused as never-runnable.
 	Workers []domain.Worker
 }
 
-// Filter passes a job, or refuses it.
+// Filter returns nil if the job passes, or the reason for which it is refused.
 type Filter func(job domain.Job, s Snapshot) *domain.Refusal
 
-// Pipe is the order of the filters.
-var Pipe = []Filter{Fields, Class, Team, Feasible}
+// Filters are the checks in the order in which Check applies them.
+var Filters = []Filter{CheckFields, CheckClass, CheckTeam, CheckFeasible}
 
-// Check passes the job through all filters.
+// Check applies all filters and returns the first refusal.
 func Check(job domain.Job, s Snapshot) *domain.Refusal {
-	for _, filter := range Pipe {
+	for _, filter := range Filters {
 		if refusal := filter(job, s); refusal != nil {
 			return refusal
 		}
@@ -40,20 +40,20 @@
 	return nil
 }
 
-// idPattern bounds ids to what fits a URL's path and a log line.
+// idPattern restricts ids to what fits into a URL path and a log line.
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
-// ValidID tells whether a caller's id of a job or request can be used.
+// ValidID reports whether a caller's id of a job or request can be used.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// maxPayload bounds a job's payload, in bytes.
+// maxPayload is the largest payload of a job, in bytes.
 const maxPayload = 64 << 10
 
-// Fields checks the job by itself.
-func Fields(job domain.Job, _ Snapshot) *domain.Refusal {
+// CheckFields validates the fields of the job itself.
+func CheckFields(job domain.Job, _ Snapshot) *domain.Refusal {
 	if !ValidID(string(job.ID)) {
-		return domain.Refuse(domain.ReasonInvalid, "id", "is missing or has other characters than letters, digits, '.', '_' and '-'",
-			"choose an id of 1 to 128 such characters; repeat a submission with the same one")
+		return domain.Refuse(domain.ReasonInvalid, "id", "is missing, too long, or has characters other than letters, digits, '.', '_' and '-'",
+			"choose an id of 1 to 128 such characters that begins with a letter or digit; reuse it to repeat the submission")
 	}
 	if problems := configuration.ShapeProblems("shape", job.Shape); len(problems) > 0 {
 		p := problems[0]
@@ -64,13 +64,13 @@
 	}
 	if len(job.Payload) > maxPayload {
 		return domain.Refuse(domain.ReasonTooLarge, "payload", fmt.Sprintf("has %d bytes, more than %d", len(job.Payload), maxPayload),
-			"store it elsewhere and pass its place")
+			"store the data elsewhere and pass its location")
 	}
 	return nil
 }
 
-// Class checks that the job's class is declared for jobs.
-func Class(job domain.Job, s Snapshot) *domain.Refusal {
+// CheckClass checks that the job's class is declared as a class of jobs.
+func CheckClass(job domain.Job, s Snapshot) *domain.Refusal {
 	class, ok := s.Declarations.Classes[job.Class]
 	if ok && class.Kind == domain.JobClass {
 		return nil
@@ -79,8 +79,9 @@
 		"use a declared class, or have an operator declare it")
 }
 
-// Team checks that the job's team is declared, where its account has teams.
-func Team(job domain.Job, s Snapshot) *domain.Refusal {
+// CheckTeam checks that the job's team is declared if its account has teams, and that the
+// job fits under the team's ceiling.
+func CheckTeam(job domain.Job, s Snapshot) *domain.Refusal {
 	teams := s.Declarations.Accounts[job.Account].Teams
 	if len(teams) == 0 && job.Team == "" {
 		return nil
@@ -97,56 +98,56 @@
 	return nil
 }
 
-// Feasible refuses a gang that the whole fleet of its data centre could not
-// hold even if it were empty.
-func Feasible(job domain.Job, s Snapshot) *domain.Refusal {
+// CheckFeasible refuses a gang that would not fit into its data centre even if all workers
+// were empty.
+func CheckFeasible(job domain.Job, s Snapshot) *domain.Refusal {
 	if len(s.Workers) == 0 {
 		return nil
 	}
 	cluster := placement.NewCluster(s.Workers)
 	var finder placement.Finder
-	whole := func(n *placement.Node) domain.Resources { return n.Worker.Capacity }
-	if _, ok := finder.Find(cluster, job.Shape, placement.FirstFit, whole); !ok {
-		return neverRunnable(job, "block", finder.LargestBlock(cluster, job.Shape, whole))
+	capacity := func(n *placement.Node) domain.Resources { return n.Worker.Capacity }
+	if _, ok := finder.Find(cluster, job.Shape, placement.FirstFit, capacity); !ok {
+		return neverRunnable(job, "block", finder.LargestBlock(cluster, job.Shape, capacity))
 	}
 	if s.Declarations.Classes[job.Class].Preemptible() {
 		return nil
 	}
-	return pinned(job, s, cluster)
+	return checkPinnable(job, s, cluster)
 }
 
-// pinned refuses a gang that can't be preempted and fits neither into its own
-// account's guarantees nor beside everybody's.
-func pinned(job domain.Job, s Snapshot, cluster *placement.Cluster) *domain.Refusal {
+// checkPinnable refuses a non-preemptible gang that fits neither into its own account's
+// guarantees nor into the capacity outside all guarantees.
+func checkPinnable(job domain.Job, s Snapshot, cluster *placement.Cluster) *domain.Refusal {
 	guarantee.Bind(cluster, job.DataCentre, s.Declarations.Accounts, guarantee.Binding{})
 	var finder placement.Finder
-	own := func(n *placement.Node) domain.Resources { return n.CellFree(job.Account) }
-	if _, ok := finder.Find(cluster, job.Shape, placement.FirstFit, own); ok {
+	ownCells := func(n *placement.Node) domain.Resources { return n.CellFree(job.Account) }
+	if _, ok := finder.Find(cluster, job.Shape, placement.FirstFit, ownCells); ok {
 		return nil
 	}
-	beside := func(n *placement.Node) domain.Resources { return n.Worker.Capacity.Sub(n.CellTotal) }
-	if _, ok := finder.Find(cluster, job.Shape, placement.FirstFit, beside); ok {
+	outsideCells := func(n *placement.Node) domain.Resources { return n.Worker.Capacity.Sub(n.CellTotal) }
+	if _, ok := finder.Find(cluster, job.Shape, placement.FirstFit, outsideCells); ok {
 		return nil
 	}
-	largest := max(finder.LargestBlock(cluster, job.Shape, own), finder.LargestBlock(cluster, job.Shape, beside))
-	return neverRunnable(job, "block that it may pin beside the guarantees", largest)
+	largest := max(finder.LargestBlock(cluster, job.Shape, ownCells), finder.LargestBlock(cluster, job.Shape, outsideCells))
+	return neverRunnable(job, "block for non-preemptible gangs outside the guarantees", largest)
 }
 
 func neverRunnable(job domain.Job, what string, largest int) *domain.Refusal {
 	return domain.Refuse(domain.ReasonNeverRunnable, "shape",
-		fmt.Sprintf("the gang has %d tasks, the largest %s %s of %s holds %d", job.Shape.Tasks, adjacency(job.Shape), what, job.DataCentre, largest),
-		"ask for fewer or smaller tasks, for a looser adjacency, or use a class that can be preempted")
+		fmt.Sprintf("the gang has %d tasks, the largest %s %s of %s holds %d", job.Shape.Tasks, adjacencyOrDefault(job.Shape), what, job.DataCentre, largest),
+		"request fewer or smaller tasks or a looser adjacency, or use a preemptible class")
 }
 
-func adjacency(s domain.Shape) domain.Adjacency {
+func adjacencyOrDefault(s domain.Shape) domain.Adjacency {
 	if s.Adjacency == "" {
 		return domain.Anywhere
 	}
 	return s.Adjacency
 }
 
-// Digest identifies what a caller submitted, so that an id reused with another
-// body is noticed. The time of submission is not part of it.
+// Digest returns a hash of what the caller submitted. It shows when an id is reused with
+// another body. The time of submission is not part of it.
 func Digest(job domain.Job) string {
 	raw, err := json.Marshal(struct {
 		ID, Account, Team, Class, DataCentre, Payload string
@@ -154,7 +155,7 @@
 		Estimate                                      domain.Duration
 	}{string(job.ID), string(job.Account), string(job.Team), string(job.Class), string(job.DataCentre), job.Payload, job.Shape, job.Estimate})
 	if err != nil {
-		panic(err) // it holds nothing that can't be marshalled
+		panic(err) // every field can be marshalled
 	}
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
--- a/scheduler/filter_consolidate.go
+++ b/scheduler/filter_consolidate.go
@@ -7,33 +7,33 @@
 	"github.com/cobalttide/cobalttide/scheduler/placement"
 )
 
-// consolidate moves borrowers off a large job's reserved block when that saves
-// more than it costs: the block's idle accelerators until it would drain by
-// itself, against the work that the borrowers lose. They continue elsewhere.
-// This is the only defragmentation there is; gangs within their guarantee and
-// gangs that can't be preempted are never moved.
-func consolidate(c *cycle, w *Waiting) verdict {
+// consolidate moves borrowers off a large job's reserved block if that saves more than it
+// costs: the idle accelerator time until the block would drain by itself, compared with
+// the work that the borrowers lose. The borrowers continue elsewhere. There is no other
+// defragmentation; gangs within their guarantee and non-preemptible gangs are never moved.
+func consolidate(c *cycle, w *Waiting) decision {
 	r, ok := c.reserved[w.Job.ID]
 	if !ok || !c.policy.Guarantees || c.policy.ConsolidateGain == 0 {
 		return pass
 	}
-	gain := c.idle(r)
-	cost, settled := c.movingCost(r)
-	if !settled || gain < c.policy.ConsolidateGain*cost {
+	gain := c.idleAcceleratorSeconds(r)
+	cost, stable := c.relocationCost(r)
+	if !stable || gain < c.policy.ConsolidateGain*cost {
 		return pass
 	}
-	c.closeBlock(w.Job.ID)
+	c.makeExclusive(w.Job.ID)
 	available := func(n *placement.Node) domain.Resources {
 		if !slices.Contains(r.Workers, n.Worker.ID) {
 			return domain.Resources{Accelerators: -1, CPU: -1, MemoryMiB: -1}
 		}
-		return c.avoiding(w, n, c.reclaimableBy(w, n, movable))
+		return c.excludeAvoided(w, n, c.reclaimableBy(w, n, isMovable))
 	}
-	return c.reclaim(w, available, false, movable)
+	return c.reclaim(w, available, false, isMovable)
 }
 
-// idle is the accelerator seconds that the block stands idle until its start.
-func (c *cycle) idle(r Reservation) float64 {
+// idleAcceleratorSeconds returns the accelerator seconds for which the block's free
+// accelerators stay idle until its expected start.
+func (c *cycle) idleAcceleratorSeconds(r Reservation) float64 {
 	free := 0
 	for _, id := range r.Workers {
 		if n := c.cluster.Node(id); n != nil {
@@ -43,21 +43,22 @@
 	return float64(free) * r.Start.Sub(c.Now).Seconds()
 }
 
-// movingCost is the work that the borrowers on the block lose if they are moved
-// now. Settled is false while one of them has only just begun.
-func (c *cycle) movingCost(r Reservation) (cost float64, settled bool) {
+// relocationCost returns the work, in accelerator seconds, that the borrowers on the block
+// lose if they are moved now. stable is false if one of them has run for less than
+// Policy.ConsolidateAfter.
+func (c *cycle) relocationCost(r Reservation) (cost float64, stable bool) {
 	seen := map[int]bool{}
 	for _, id := range r.Workers {
-		for _, i := range c.onNode[id] {
+		for _, i := range c.preemptibleOn[id] {
 			g := &c.gangs[i]
-			if seen[i] || !movable(g) {
+			if seen[i] || !isMovable(g) {
 				continue
 			}
 			seen[i] = true
 			if c.Now.Sub(g.Started) < c.policy.ConsolidateAfter {
 				return 0, false
 			}
-			cost += c.loss(g)
+			cost += c.lostWork(g)
 		}
 	}
 	return cost, true
--- a/scheduler/filter_guaranteed.go
+++ b/scheduler/filter_guaranteed.go
@@ -7,91 +7,90 @@
 	"github.com/cobalttide/cobalttide/scheduler/placement"
 )
 
-// claimed settles a job's claim to its account's cells, unless it can do without
-// them: then its turn comes with the spare capacity. While urgent or large jobs
-// wait, who would have their turn there first, it uses its cells and leaves that
-// capacity to them.
-func claimed(c *cycle, w *Waiting) verdict {
-	if !c.crowded {
-		if _, ok := c.findBeside(w); ok {
+// claimCells places a job in its account's cells, unless it fits outside all cells: it is
+// then considered with the spare capacity. While urgent or large jobs wait, which are
+// offered the spare capacity first, the job uses its cells and leaves that capacity to
+// them.
+func claimCells(c *cycle, w *Waiting) decision {
+	if !c.hasUrgentOrLarge {
+		if _, ok := c.findOutsideCells(w); ok {
 			return pass
 		}
 	}
-	return guaranteed(c, w)
+	return placeInCells(c, w)
 }
 
-// guaranteed places a job within its account's cells: on what is free there,
-// else on what stopping gangs are about to give back, else by stopping the
-// borrowers that are in the way. The cells' invariant makes the last always
-// possible.
-func guaranteed(c *cycle, w *Waiting) verdict {
+// placeInCells places a job within its account's cells: on free capacity, else on capacity
+// that stopping gangs are freeing, else by preempting the borrowers that use the cells.
+// The invariant of package guarantee makes the last always possible.
+func placeInCells(c *cycle, w *Waiting) decision {
 	if !c.policy.Guarantees {
 		return pass
 	}
 	account := w.Job.Account
-	cell := func(n *placement.Node) domain.Resources { return c.avoiding(w, n, n.CellFree(account)) }
-	return c.reclaim(w, cell, true, (*Gang).preemptible)
+	cell := func(n *placement.Node) domain.Resources { return c.excludeAvoided(w, n, n.CellFree(account)) }
+	return c.reclaim(w, cell, true, (*Gang).isPreemptible)
 }
 
-// reclaim starts the job on what is free of the place at hand. Else it books a
-// place that borrowers hold, and stops those of them that are not stopping yet;
-// the job then starts in a later plan, once they are gone.
-func (c *cycle) reclaim(w *Waiting, available placement.Available, guaranteed bool, mayStop func(*Gang) bool) verdict {
-	free := func(n *placement.Node) domain.Resources { return least(available(n), n.Free()) }
+// reclaim starts the job if the available capacity is free. Otherwise it allocates a place
+// that borrowers hold and preempts those that are not stopping yet; the job starts in a
+// later plan, after they have stopped.
+func (c *cycle) reclaim(w *Waiting, available placement.Available, guaranteed bool, canPreempt func(*Gang) bool) decision {
+	free := func(n *placement.Node) domain.Resources { return minResources(available(n), n.Free()) }
 	if p, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.BestFit, free); ok {
 		c.start(w, p, guaranteed)
 		return done
 	}
-	soon := func(n *placement.Node) domain.Resources {
-		return least(available(n), n.Free().Add(n.Stopping))
+	freeOrStopping := func(n *placement.Node) domain.Resources {
+		return minResources(available(n), n.Free().Add(n.Stopping))
 	}
-	p, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.EmptiestFirst, soon)
+	p, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.EmptiestFirst, freeOrStopping)
 	if !ok {
 		p, ok = c.finder.Find(c.cluster, w.Job.Shape, placement.EmptiestFirst, available)
 	}
 	if !ok {
 		return pass
 	}
-	c.preemptFor(w, p, mayStop)
-	c.occupy(w, p, guaranteed)
-	c.holdBack(w, HeldReclaiming, w.Job.Shape.Tasks, w.Job.Shape.Tasks)
+	c.preemptFor(w, p, canPreempt)
+	c.allocate(w, p, guaranteed)
+	c.addHeld(w, HeldReclaiming, w.Job.Shape.Tasks, w.Job.Shape.Tasks)
 	return done
 }
 
-// preemptFor stops, worker by worker, the borrowers whose loss is least until
-// the placement fits.
-func (c *cycle) preemptFor(w *Waiting, p domain.Placement, mayStop func(*Gang) bool) {
+// preemptFor preempts on each worker the borrowers that lose the least work, until the
+// placement fits.
+func (c *cycle) preemptFor(w *Waiting, p domain.Placement, canPreempt func(*Gang) bool) {
 	for _, a := range p {
 		n := c.cluster.Node(a.Worker)
 		need := w.Job.Shape.PerTask.Times(a.Tasks)
 		for !need.Fits(n.Free().Add(n.Stopping)) {
-			victim := c.cheapestVictim(n, mayStop)
+			victim := c.cheapestVictim(n, canPreempt)
 			if victim < 0 {
 				break
 			}
-			c.stop(victim, w)
+			c.preempt(victim, w)
 		}
 	}
 }
 
-func (c *cycle) cheapestVictim(n *placement.Node, mayStop func(*Gang) bool) int {
+func (c *cycle) cheapestVictim(n *placement.Node, canPreempt func(*Gang) bool) int {
 	best := -1
 	var bestLoss float64
-	for _, i := range c.onNode[n.Worker.ID] {
+	for _, i := range c.preemptibleOn[n.Worker.ID] {
 		g := &c.gangs[i]
-		if !mayStop(g) {
+		if !canPreempt(g) {
 			continue
 		}
-		if loss := c.loss(g); best < 0 || loss < bestLoss {
+		if loss := c.lostWork(g); best < 0 || loss < bestLoss {
 			best, bestLoss = i, loss
 		}
 	}
 	return best
 }
 
-// loss is the work that stopping a gang throws away, in accelerator seconds.
-// A checkpointable gang saves its work and loses only the time to do so.
-func (c *cycle) loss(g *Gang) float64 {
+// lostWork returns the work that is lost if a gang is stopped, in accelerator seconds. A
+// checkpointable gang saves its work and loses only the time that this takes.
+func (c *cycle) lostWork(g *Gang) float64 {
 	accelerators := float64(max(1, g.Job.Shape.Accelerators()))
 	if g.Class.Checkpointable {
 		return g.Class.Grace.Std().Seconds() * accelerators
@@ -99,7 +98,7 @@
 	return c.Now.Sub(g.Saved).Seconds() * accelerators
 }
 
-func (c *cycle) stop(i int, w *Waiting) {
+func (c *cycle) preempt(i int, w *Waiting) {
 	g := &c.gangs[i]
 	for _, a := range g.Placement {
 		n := c.cluster.Node(a.Worker)
@@ -117,7 +116,7 @@
 	c.plan.Preemptions = append(c.plan.Preemptions, Preemption{Job: g.Job.ID, For: w.Job.ID, Grace: grace})
 }
 
-func least(a, b domain.Resources) domain.Resources {
+func minResources(a, b domain.Resources) domain.Resources {
 	return domain.Resources{
 		Accelerators: min(a.Accelerators, b.Accelerators),
 		CPU:          min(a.CPU, b.CPU),
@@ -125,10 +124,10 @@
 	}
 }
 
-// avoiding returns nothing for workers on which the job has failed, unless it
-// could run nowhere else.
-func (c *cycle) avoiding(w *Waiting, n *placement.Node, have domain.Resources) domain.Resources {
-	if c.avoids[w.Job.ID] && slices.Contains(w.Avoid, n.Worker.ID) {
+// excludeAvoided returns -1 for every resource of a worker that the job avoids because it
+// has failed there, and otherwise the given amount.
+func (c *cycle) excludeAvoided(w *Waiting, n *placement.Node, have domain.Resources) domain.Resources {
+	if c.avoidsFailed[w.Job.ID] && slices.Contains(w.Avoid, n.Worker.ID) {
 		return domain.Resources{Accelerators: -1, CPU: -1, MemoryMiB: -1}
 	}
 	return have
--- a/scheduler/filter_quota.go
+++ b/scheduler/filter_quota.go
@@ -6,74 +6,74 @@
 	"github.com/cobalttide/cobalttide/scheduler/quota"
 )
 
-// feasible parks a job that the schedulable fleet could not hold even empty.
-// It holds no reservation while it is parked.
-func feasible(c *cycle, w *Waiting) verdict {
-	whole := func(n *placement.Node) domain.Resources { return n.Worker.Capacity }
-	key := failedKey{shape: w.Job.Shape, mode: modeEmpty}
-	failure, tried := c.failed[key]
-	if !tried {
-		_, fits := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, whole)
+// checkFeasible holds a job back that would not fit on the schedulable workers even if
+// they were empty. The job gives up its reservation meanwhile.
+func checkFeasible(c *cycle, w *Waiting) decision {
+	capacity := func(n *placement.Node) domain.Resources { return n.Worker.Capacity }
+	key := searchKey{shape: w.Job.Shape, mode: modeEmpty}
+	failure, known := c.failures[key]
+	if !known {
+		_, fits := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, capacity)
 		if !fits {
-			failure.largest = c.finder.LargestBlock(c.cluster, w.Job.Shape, whole)
+			failure.largest = c.finder.LargestBlock(c.cluster, w.Job.Shape, capacity)
 			failure.failed = true
 		}
-		c.failed[key] = failure
+		c.failures[key] = failure
 	}
-	if !failure.failed && c.pinnable(w) {
-		c.settleAvoidance(w)
+	if !failure.failed && c.isPinnable(w) {
+		c.decideAvoidance(w)
 		return pass
 	}
-	c.unmark(w.Job.ID)
-	c.holdBack(w, HeldNeverRunnable, w.Job.Shape.Tasks, failure.largest)
-	return hold
+	c.dropReservation(w.Job.ID)
+	c.addHeld(w, HeldNeverRunnable, w.Job.Shape.Tasks, failure.largest)
+	return wait
 }
 
-// settleAvoidance decides whether the job keeps off the workers on which it has
-// failed: only if the others could hold it.
-func (c *cycle) settleAvoidance(w *Waiting) {
+// decideAvoidance makes the job avoid the workers on which it has failed, but only if it
+// fits on the other ones.
+func (c *cycle) decideAvoidance(w *Waiting) {
 	if len(w.Avoid) == 0 {
 		return
 	}
-	c.avoids[w.Job.ID] = true
-	whole := func(n *placement.Node) domain.Resources { return c.avoiding(w, n, n.Worker.Capacity) }
-	_, fits := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, whole)
-	c.avoids[w.Job.ID] = fits && c.pinnable(w)
+	c.avoidsFailed[w.Job.ID] = true
+	capacity := func(n *placement.Node) domain.Resources { return c.excludeAvoided(w, n, n.Worker.Capacity) }
+	_, fits := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, capacity)
+	c.avoidsFailed[w.Job.ID] = fits && c.isPinnable(w)
 }
 
-// pinnable tells whether a gang that can't be preempted has room in its own
-// account's cells or beside everybody's.
-func (c *cycle) pinnable(w *Waiting) bool {
+// isPinnable reports whether the job is preemptible, or fits into its own account's cells
+// or outside all cells.
+func (c *cycle) isPinnable(w *Waiting) bool {
 	if w.Class.Preemptible() || !c.policy.Guarantees {
 		return true
 	}
-	own := func(n *placement.Node) domain.Resources { return c.avoiding(w, n, n.CellSize(w.Job.Account)) }
-	beside := func(n *placement.Node) domain.Resources {
-		return c.avoiding(w, n, n.Worker.Capacity.Sub(n.CellTotal))
+	ownCells := func(n *placement.Node) domain.Resources { return c.excludeAvoided(w, n, n.CellSize(w.Job.Account)) }
+	outsideCells := func(n *placement.Node) domain.Resources {
+		return c.excludeAvoided(w, n, n.Worker.Capacity.Sub(n.CellTotal))
 	}
-	if _, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, own); ok {
+	if _, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, ownCells); ok {
 		return true
 	}
-	_, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, beside)
+	_, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, outsideCells)
 	return ok
 }
 
-// teamCeiling holds a job whose team would exceed its ceiling.
-func teamCeiling(c *cycle, w *Waiting) verdict {
-	return c.holdAtCeiling(w, HeldTeamCeiling, c.usage.TeamBlock(w.Job, c.Accounts[w.Job.Account]))
+// checkTeamCeiling holds a job back if its team would exceed its ceiling.
+func checkTeamCeiling(c *cycle, w *Waiting) decision {
+	return c.checkCeiling(w, HeldTeamCeiling, c.usage.CheckTeamCeiling(w.Job, c.Accounts[w.Job.Account]))
 }
 
-// accountCeiling holds a job that would borrow beyond its account's ceiling.
-func accountCeiling(c *cycle, w *Waiting) verdict {
-	return c.holdAtCeiling(w, HeldAccountCeiling, c.usage.BorrowBlock(w.Job, c.Accounts[w.Job.Account]))
+// checkAccountCeiling holds a job back if its account would borrow beyond its ceiling.
+func checkAccountCeiling(c *cycle, w *Waiting) decision {
+	return c.checkCeiling(w, HeldAccountCeiling, c.usage.CheckAccountCeiling(w.Job, c.Accounts[w.Job.Account]))
 }
 
-// holdAtCeiling holds a job that a quota blocks; it gives its reservation up.
-func (c *cycle) holdAtCeiling(w *Waiting, reason HeldReason, block *quota.Block) verdict {
-	if block == nil {
+// checkCeiling holds a job back if it exceeds a limit; the job gives up its reservation.
+func (c *cycle) checkCeiling(w *Waiting, reason HeldReason, exceeded *quota.Exceeded) decision {
+	if exceeded == nil {
 		return pass
 	}
-	c.unmark(w.Job.ID)
-	c.holdBack(w, reason, block.Need, block.Have)
-	return hold
+	c.dropReservation(w.Job.ID)
+	c.addHeld(w, reason, exceeded.Need, exceeded.Have)
+	return wait
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -7,28 +7,28 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// order returns the waiting jobs in the order in which they are considered:
-// urgent ones first, then accounts in turn by dominant share.
+// order returns the waiting jobs in the order in which they are considered: urgent jobs
+// first, then the accounts in turns by dominant share.
 func (c *cycle) order() []*Waiting {
 	jobs := make([]*Waiting, len(c.Waiting))
 	for i := range c.Waiting {
 		jobs[i] = &c.Waiting[i]
 	}
 	if c.policy.FIFO {
-		slices.SortStableFunc(jobs, bySubmission)
+		slices.SortStableFunc(jobs, compareSubmission)
 		return jobs
 	}
-	return c.takeTurns(jobs)
+	return c.interleaveAccounts(jobs)
 }
 
-func bySubmission(a, b *Waiting) int {
+func compareSubmission(a, b *Waiting) int {
 	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Job.ID, b.Job.ID))
 }
 
-// takeTurns merges the accounts' queues. The account that is charged least
-// goes next, and is charged the job as if it had started; a job that then has
-// to wait costs its account a turn, never its place in the next plan.
-func (c *cycle) takeTurns(jobs []*Waiting) []*Waiting {
+// interleaveAccounts merges the accounts' queues. The account with the lowest charge goes
+// next and is charged for its job as if it had started. If that job then has to wait, its
+// account has lost a turn in this plan but keeps its place in the next one.
+func (c *cycle) interleaveAccounts(jobs []*Waiting) []*Waiting {
 	queues := c.queues(jobs)
 	charged := make(map[domain.AccountID]float64, len(queues))
 	for _, q := range queues {
@@ -36,11 +36,11 @@
 	}
 	out := make([]*Waiting, 0, len(jobs))
 	for len(out) < len(jobs) {
-		next := c.lowest(queues, charged)
+		next := c.nextQueue(queues, charged)
 		w := next.jobs[0]
 		next.jobs = next.jobs[1:]
 		out = append(out, w)
-		charged[next.account] += c.charge(w)
+		charged[next.account] += c.weightedShare(w)
 	}
 	return out
 }
@@ -64,20 +64,20 @@
 	}
 	slices.SortFunc(queues, func(a, b *accountQueue) int { return cmp.Compare(a.account, b.account) })
 	for _, q := range queues {
-		slices.SortStableFunc(q.jobs, c.withinAccount)
+		slices.SortStableFunc(q.jobs, c.compareWithinAccount)
 	}
 	return queues
 }
 
-// withinAccount puts urgent jobs first, then higher priority, then teams
-// within their nominal quota, then the highest response ratio.
-func (c *cycle) withinAccount(a, b *Waiting) int {
+// compareWithinAccount orders urgent jobs first, then by priority, then teams within their
+// nominal quota, then by the highest response ratio.
+func (c *cycle) compareWithinAccount(a, b *Waiting) int {
 	return cmp.Or(
 		-compareBool(a.Class.Urgent, b.Class.Urgent),
 		-cmp.Compare(a.Class.Priority, b.Class.Priority),
-		compareBool(c.overNominal(a), c.overNominal(b)),
+		compareBool(c.isOverNominal(a), c.isOverNominal(b)),
 		-cmp.Compare(c.responseRatio(a), c.responseRatio(b)),
-		bySubmission(a, b))
+		compareSubmission(a, b))
 }
 
 func compareBool(a, b bool) int {
@@ -90,12 +90,12 @@
 	return -1
 }
 
-func (c *cycle) overNominal(w *Waiting) bool {
-	return c.usage.OverNominal(w.Job, c.Accounts[w.Job.Account])
+func (c *cycle) isOverNominal(w *Waiting) bool {
+	return c.usage.IsOverNominal(w.Job, c.Accounts[w.Job.Account])
 }
 
-// responseRatio is (wait + run) / run, the highest response ratio next rule:
-// it grows without bound, so every job comes to the front in the end.
+// responseRatio is (wait + run) / run, as in highest response ratio next scheduling. It
+// grows without bound, so every job comes to the front eventually.
 func (c *cycle) responseRatio(w *Waiting) float64 {
 	run := max(w.Expected.Seconds(), 1)
 	return (c.Now.Sub(w.Since).Seconds() + run) / run
@@ -103,22 +103,22 @@
 
 func (c *cycle) weight(id domain.AccountID) int { return c.Accounts[id].Weight }
 
-func (c *cycle) charge(w *Waiting) float64 {
+func (c *cycle) weightedShare(w *Waiting) float64 {
 	share := float64(w.Job.Shape.Accelerators()) / float64(max(1, c.usage.Capacity.Accelerators))
 	return share / float64(max(1, c.weight(w.Job.Account)))
 }
 
-func (c *cycle) lowest(queues []*accountQueue, charged map[domain.AccountID]float64) *accountQueue {
+func (c *cycle) nextQueue(queues []*accountQueue, charged map[domain.AccountID]float64) *accountQueue {
 	var best *accountQueue
 	for _, q := range queues {
-		if len(q.jobs) > 0 && (best == nil || c.goesFirst(q, best, charged)) {
+		if len(q.jobs) > 0 && (best == nil || c.isBefore(q, best, charged)) {
 			best = q
 		}
 	}
 	return best
 }
 
-func (c *cycle) goesFirst(a, b *accountQueue, charged map[domain.AccountID]float64) bool {
+func (c *cycle) isBefore(a, b *accountQueue, charged map[domain.AccountID]float64) bool {
 	urgentA, urgentB := a.jobs[0].Class.Urgent, b.jobs[0].Class.Urgent
 	if urgentA != urgentB {
 		return urgentA
--- a/scheduler/placement/cluster.go
+++ b/scheduler/placement/cluster.go
@@ -1,6 +1,6 @@
-// Package placement finds workers for a gang. It works on a Cluster, the
-// amounts of one data centre at one instant, and changes nothing but that
-// view. It knows nothing of quotas or of the order of jobs.
+// Package placement selects workers for a gang. It works on a Cluster, which holds the
+// amounts of one data centre at one instant, and changes nothing else. It does not deal
+// with quotas or with the order of jobs.
 package placement
 
 import (
@@ -10,44 +10,45 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// CellShare is what one account's guaranteed cells hold of one worker.
+// CellShare is the part of one worker that one account's guaranteed cells cover.
 type CellShare struct {
 	Account domain.AccountID
-	// Size is the account's part of the worker.
+	// Size is the amount of the worker that the cells cover.
 	Size domain.Resources
-	// Used is what the account's gangs within their guarantee use of it.
+	// Used is what the account's guaranteed gangs use of it.
 	Used domain.Resources
 }
 
-// Node is one worker with its amounts.
+// Node is one worker with its used and reserved amounts.
 type Node struct {
 	Worker domain.Worker
-	// Schedulable is false for workers that are lost, drained or quarantined.
+	// Schedulable is false for workers that are unreachable, draining, evacuated or
+	// quarantined.
 	Schedulable bool
-	// Used is what all gangs hold, those that are stopping included.
+	// Used is what all gangs hold, including those that are stopping.
 	Used domain.Resources
-	// Stopping is the part of Used that is about to come back.
+	// Stopping is the part of Used that stopping gangs are freeing.
 	Stopping domain.Resources
-	// Pinned is the part of Used that can't be taken back: borrowers that are
-	// not preemptible, and guaranteed gangs beyond their account's cells.
+	// Pinned is the part of Used that can't be reclaimed: borrowers that are not
+	// preemptible, and guaranteed gangs beyond their account's cells.
 	Pinned domain.Resources
-	// Cells are the guaranteed cells on this worker, one entry an account.
+	// Cells are the guaranteed cells on this worker, one entry per account.
 	Cells []CellShare
 	// CellTotal is the sum of the cells' sizes.
 	CellTotal domain.Resources
-	// ReservedUntil is when a large job is expected to need the worker; zero
-	// when none does.
+	// ReservedUntil is when a large job is expected to need the worker; zero if the worker
+	// is not reserved.
 	ReservedUntil time.Time
-	// ReservedFor is the job that the worker is reserved for.
+	// ReservedFor is the job for which the worker is reserved.
 	ReservedFor domain.JobID
 }
 
-// Free returns what no gang holds.
+// Free returns the amount that no gang holds.
 func (n *Node) Free() domain.Resources { return n.Worker.Capacity.Sub(n.Used) }
 
-// Beside returns what of the worker is neither in a cell nor held by gangs that
-// run outside their account's cells.
-func (n *Node) Beside() domain.Resources {
+// FreeOutsideCells returns the amount of the worker that is neither in a cell nor held by
+// gangs outside their account's cells.
+func (n *Node) FreeOutsideCells() domain.Resources {
 	outside := n.Used
 	for i := range n.Cells {
 		outside = outside.Sub(n.Cells[i].Used)
@@ -55,7 +56,7 @@
 	return n.Worker.Capacity.Sub(n.CellTotal).Sub(outside)
 }
 
-// CellFree returns what is left of the account's cells on the worker.
+// CellFree returns the unused amount of the account's cells on the worker.
 func (n *Node) CellFree(account domain.AccountID) domain.Resources {
 	for i := range n.Cells {
 		if n.Cells[i].Account == account {
@@ -65,7 +66,7 @@
 	return domain.Resources{}
 }
 
-// CellSize returns the account's cells on the worker, used or not.
+// CellSize returns the size of the account's cells on the worker.
 func (n *Node) CellSize(account domain.AccountID) domain.Resources {
 	for i := range n.Cells {
 		if n.Cells[i].Account == account {
@@ -75,7 +76,7 @@
 	return domain.Resources{}
 }
 
-// AddCell grows the account's cells on the worker.
+// AddCell adds an amount to the account's cells on the worker.
 func (n *Node) AddCell(account domain.AccountID, size domain.Resources) {
 	n.CellTotal = n.CellTotal.Add(size)
 	for i := range n.Cells {
@@ -87,22 +88,22 @@
 	n.Cells = append(n.Cells, CellShare{Account: account, Size: size})
 }
 
-// UseCell books amount against the account's cells and returns what exceeds
-// them.
+// UseCell adds the amount to the use of the account's cells and returns the part that
+// exceeds them.
 func (n *Node) UseCell(account domain.AccountID, amount domain.Resources) (excess domain.Resources) {
 	for i := range n.Cells {
 		cell := &n.Cells[i]
 		if cell.Account != account {
 			continue
 		}
-		within := lesser(amount, cell.Size.Sub(cell.Used))
+		within := minResources(amount, cell.Size.Sub(cell.Used))
 		cell.Used = cell.Used.Add(within)
 		return amount.Sub(within)
 	}
 	return amount
 }
 
-func lesser(a, b domain.Resources) domain.Resources {
+func minResources(a, b domain.Resources) domain.Resources {
 	return domain.Resources{
 		Accelerators: min(a.Accelerators, b.Accelerators),
 		CPU:          min(a.CPU, b.CPU),
@@ -110,27 +111,27 @@
 	}
 }
 
-// Rack is a run of nodes in Cluster.Nodes.
+// Rack is a range of Cluster.Nodes, from First up to but not including End.
 type Rack struct {
 	ID         domain.RackID
 	Row        int
 	First, End int
 }
 
-// Cluster is the fleet of one data centre, ordered by row, rack and worker.
+// Cluster holds the workers of one data centre, ordered by row, rack and id.
 type Cluster struct {
 	Nodes []Node
 	Racks []Rack
 	index map[domain.WorkerID]int
 }
 
-// NewCluster lays out the workers. All start schedulable and empty.
+// NewCluster returns a cluster of the workers, all schedulable and empty.
 func NewCluster(workers []domain.Worker) *Cluster {
 	sorted := workers
-	inOrder := func(i, j int) bool { return before(sorted[i], sorted[j]) }
-	if !sort.SliceIsSorted(sorted, inOrder) {
+	less := func(i, j int) bool { return isBefore(sorted[i], sorted[j]) }
+	if !sort.SliceIsSorted(sorted, less) {
 		sorted = append([]domain.Worker(nil), workers...)
-		sort.Slice(sorted, inOrder)
+		sort.Slice(sorted, less)
 	}
 	c := &Cluster{
 		Nodes: make([]Node, len(sorted)),
@@ -149,7 +150,7 @@
 	return c
 }
 
-func before(a, b domain.Worker) bool {
+func isBefore(a, b domain.Worker) bool {
 	if a.Row != b.Row {
 		return a.Row < b.Row
 	}
@@ -159,7 +160,7 @@
 	return a.ID < b.ID
 }
 
-// Node returns the node of a worker, or nil.
+// Node returns the node of a worker, or nil if the worker is not in the cluster.
 func (c *Cluster) Node(id domain.WorkerID) *Node {
 	if i, ok := c.index[id]; ok {
 		return &c.Nodes[i]
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// Capacity returns the sum over schedulable workers.
+// Capacity returns the sum of the capacities of all schedulable workers.
 func (c *Cluster) Capacity() domain.Resources {
 	var sum domain.Resources
 	for i := range c.Nodes {
@@ -178,8 +179,7 @@
 	return sum
 }
 
-// Hold books a gang's use of its workers. Workers that the cluster does not
-// know are passed over.
+// Hold adds a gang's use to its workers. Workers that are not in the cluster are skipped.
 func (c *Cluster) Hold(p domain.Placement, perTask domain.Resources) {
 	for _, a := range p {
 		if n := c.Node(a.Worker); n != nil {
--- a/scheduler/placement/find.go
+++ b/scheduler/placement/find.go
@@ -6,46 +6,47 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Available says what of a node may be used for the gang at hand. It returns
-// zero Resources for a node that must not be used.
+// Available returns the amount of a node that the current gang may use. It returns zero or
+// negative resources for a node that must not be used.
 type Available func(n *Node) domain.Resources
 
-// Strategy is the rule by which a block is chosen among those that fit.
+// Strategy is the rule that selects among the blocks that fit.
 type Strategy int
 
 // The strategies.
 const (
-	// BestFit takes the domain that has least to spare and fills its fullest
-	// workers first, so that the largest adjacent blocks stay whole.
+	// BestFit takes the worker or run of racks with the least usable capacity and fills
+	// its fullest workers first, which keeps the largest adjacent blocks whole.
 	BestFit Strategy = iota
-	// FirstFit takes the first domain that fits; the baseline.
+	// FirstFit takes the first worker or run of racks that fits; the baseline for
+	// comparison.
 	FirstFit
-	// EmptiestFirst takes the block with most to spare, which costs the fewest
-	// victims when a guarantee is reclaimed.
+	// EmptiestFirst takes the block with the most free capacity, which preempts the fewest
+	// gangs when a guarantee is reclaimed.
 	EmptiestFirst
 )
 
-// better tells whether a block with that many free accelerators is preferred
-// to the best one so far.
-func (s Strategy) better(free, best int) bool {
+// isBetter reports whether a block with that many free accelerators is preferred to the
+// best one so far.
+func (s Strategy) isBetter(free, best int) bool {
 	if s == EmptiestFirst {
 		return free > best
 	}
 	return free < best
 }
 
-// Finder holds the scratch memory of Find, so that a decision allocates only
-// the placement that it returns. Not safe for concurrent use.
+// Finder holds the buffers of Find, so that a search allocates only the placement that it
+// returns. It is not safe for concurrent use.
 type Finder struct {
-	counts []int
-	// usable are the accelerators of each node that the search may use.
-	usable []int
-	order  []int
+	taskCounts []int
+	// usableAccelerators are the accelerators of each node that the search may use.
+	usableAccelerators []int
+	order              []int
 }
 
-// Find returns workers for the shape, or false when no block fits.
+// Find returns workers for the shape, or false if no block fits.
 func (f *Finder) Find(c *Cluster, shape domain.Shape, strategy Strategy, available Available) (domain.Placement, bool) {
-	f.count(c, shape, available)
+	f.countTasks(c, shape, available)
 	switch shape.Adjacency {
 	case domain.SameWorker:
 		return f.onOneWorker(c, shape, strategy)
@@ -60,23 +61,23 @@
 // neighbouringRacks is how many consecutive racks count as adjacent.
 const neighbouringRacks = 2
 
-// count notes for every node how many tasks it could take.
-func (f *Finder) count(c *Cluster, shape domain.Shape, available Available) {
-	f.counts = slices.Grow(f.counts[:0], len(c.Nodes))[:len(c.Nodes)]
-	f.usable = slices.Grow(f.usable[:0], len(c.Nodes))[:len(c.Nodes)]
+// countTasks computes for each node how many tasks fit on it.
+func (f *Finder) countTasks(c *Cluster, shape domain.Shape, available Available) {
+	f.taskCounts = slices.Grow(f.taskCounts[:0], len(c.Nodes))[:len(c.Nodes)]
+	f.usableAccelerators = slices.Grow(f.usableAccelerators[:0], len(c.Nodes))[:len(c.Nodes)]
 	for i := range c.Nodes {
-		f.counts[i], f.usable[i] = 0, 0
+		f.taskCounts[i], f.usableAccelerators[i] = 0, 0
 		if c.Nodes[i].Schedulable {
 			have := available(&c.Nodes[i])
-			f.counts[i] = have.Count(shape.PerTask, shape.Tasks)
-			f.usable[i] = max(0, have.Accelerators)
+			f.taskCounts[i] = have.Count(shape.PerTask, shape.Tasks)
+			f.usableAccelerators[i] = max(0, have.Accelerators)
 		}
 	}
 }
 
 func (f *Finder) onOneWorker(c *Cluster, shape domain.Shape, strategy Strategy) (domain.Placement, bool) {
 	best, bestFree := -1, 0
-	for i, n := range f.counts {
+	for i, n := range f.taskCounts {
 		if n < shape.Tasks {
 			continue
 		}
@@ -84,8 +85,8 @@
 			best = i
 			break
 		}
-		free := f.spare(c, i, strategy)
-		if best < 0 || strategy.better(free, bestFree) {
+		free := f.spareAccelerators(c, i, strategy)
+		if best < 0 || strategy.isBetter(free, bestFree) {
 			best, bestFree = i, free
 		}
 	}
@@ -95,19 +96,19 @@
 	return domain.Placement{{Worker: c.Nodes[best].Worker.ID, Tasks: shape.Tasks}}, true
 }
 
-// inRackWindow looks at every run of racks in neighbouring rows.
+// inRackWindow searches every run of up to width consecutive racks in neighbouring rows.
 func (f *Finder) inRackWindow(c *Cluster, shape domain.Shape, strategy Strategy, width int) (domain.Placement, bool) {
 	bestFirst, bestEnd, bestFree := -1, 0, 0
 	for r := range c.Racks {
 		first, end := c.Racks[r].First, c.windowEnd(r, width)
-		tasks, free := f.sum(c, first, end, strategy)
+		tasks, free := f.sumWindow(c, first, end, strategy)
 		if tasks < shape.Tasks {
 			continue
 		}
 		if strategy == FirstFit {
 			return f.fill(c, shape, strategy, first, end)
 		}
-		if bestFirst < 0 || strategy.better(free, bestFree) {
+		if bestFirst < 0 || strategy.isBetter(free, bestFree) {
 			bestFirst, bestEnd, bestFree = first, end, free
 		}
 	}
@@ -125,32 +126,32 @@
 	return c.Racks[last].End
 }
 
-func (f *Finder) sum(c *Cluster, first, end int, strategy Strategy) (tasks, free int) {
+func (f *Finder) sumWindow(c *Cluster, first, end int, strategy Strategy) (tasks, free int) {
 	for i := first; i < end; i++ {
-		tasks += f.counts[i]
-		free += f.spare(c, i, strategy)
+		tasks += f.taskCounts[i]
+		free += f.spareAccelerators(c, i, strategy)
 	}
 	return tasks, free
 }
 
-// spare is what blocks are compared by: what the search may use, or, when
-// victims are to be few, what is free by now.
-func (f *Finder) spare(c *Cluster, i int, strategy Strategy) int {
+// spareAccelerators is the value by which blocks are compared: the accelerators that the
+// search may use, or, for EmptiestFirst, those that are free now.
+func (f *Finder) spareAccelerators(c *Cluster, i int, strategy Strategy) int {
 	if strategy == EmptiestFirst {
 		return max(0, c.Nodes[i].Free().Accelerators)
 	}
-	return f.usable[i]
+	return f.usableAccelerators[i]
 }
 
-// fill spreads the tasks over the nodes of one window, fullest nodes first.
+// fill assigns the tasks to nodes of the window, in the order of the strategy.
 func (f *Finder) fill(c *Cluster, shape domain.Shape, strategy Strategy, first, end int) (domain.Placement, bool) {
-	tasks, _ := f.sum(c, first, end, strategy)
+	tasks, _ := f.sumWindow(c, first, end, strategy)
 	if tasks < shape.Tasks {
 		return nil, false
 	}
 	f.order = f.order[:0]
 	for i := first; i < end; i++ {
-		if f.counts[i] > 0 {
+		if f.taskCounts[i] > 0 {
 			f.order = append(f.order, i)
 		}
 	}
@@ -160,17 +161,18 @@
 	case EmptiestFirst:
 		f.sortEmptiestFirst(c)
 	}
-	return f.take(c, shape.Tasks), true
+	return f.assignTasks(c, shape.Tasks), true
 }
 
-// sortFullestFirst orders candidates by what they have free. A gang that fills
-// whole workers takes those that it fills exactly; the rest is broken up last.
+// sortFullestFirst orders the nodes by their usable accelerators, so that a gang takes
+// first the workers that it fills exactly, and breaks up larger free amounts last. It
+// prefers the nodes that take the most tasks if fewer workers then suffice.
 func (f *Finder) sortFullestFirst(shape domain.Shape) {
 	slices.SortStableFunc(f.order, func(i, j int) int {
-		if f.usable[i] != f.usable[j] {
-			return f.usable[i] - f.usable[j]
+		if f.usableAccelerators[i] != f.usableAccelerators[j] {
+			return f.usableAccelerators[i] - f.usableAccelerators[j]
 		}
-		return f.counts[j] - f.counts[i]
+		return f.taskCounts[j] - f.taskCounts[i]
 	})
 	if need := shape.Tasks; need > 1 {
 		f.preferFewWorkers(need)
@@ -183,59 +185,59 @@
 	})
 }
 
-// preferFewWorkers moves the nodes that can take most tasks to the front when
-// the fullest-first order would spread the gang over more workers.
+// preferFewWorkers moves the nodes that can take the most tasks to the front if the
+// fullest-first order would spread the gang over more workers.
 func (f *Finder) preferFewWorkers(need int) {
 	spread := 0
 	for left := need; left > 0; spread++ {
-		left -= f.counts[f.order[spread]]
+		left -= f.taskCounts[f.order[spread]]
 	}
 	byCount := slices.Clone(f.order)
-	slices.SortStableFunc(byCount, func(i, j int) int { return f.counts[j] - f.counts[i] })
+	slices.SortStableFunc(byCount, func(i, j int) int { return f.taskCounts[j] - f.taskCounts[i] })
 	dense := 0
 	for left := need; left > 0; dense++ {
-		left -= f.counts[byCount[dense]]
+		left -= f.taskCounts[byCount[dense]]
 	}
 	if dense < spread {
 		f.order = byCount
 	}
 }
 
-func (f *Finder) take(c *Cluster, need int) domain.Placement {
+func (f *Finder) assignTasks(c *Cluster, need int) domain.Placement {
 	workers := 0
 	for left := need; left > 0; workers++ {
-		left -= f.counts[f.order[workers]]
+		left -= f.taskCounts[f.order[workers]]
 	}
 	out := make(domain.Placement, 0, workers)
 	for _, i := range f.order[:workers] {
-		tasks := min(need, f.counts[i])
+		tasks := min(need, f.taskCounts[i])
 		out = append(out, domain.Assignment{Worker: c.Nodes[i].Worker.ID, Tasks: tasks})
 		need -= tasks
 	}
 	return out
 }
 
-// LargestBlock returns how many whole tasks of the shape's kind the best block
-// of its adjacency could take. It is what a refusal quotes.
+// LargestBlock returns how many tasks of the shape fit into the best block of its
+// adjacency. Refusals quote it.
 func (f *Finder) LargestBlock(c *Cluster, shape domain.Shape, available Available) int {
 	unbounded := shape
 	unbounded.Tasks = domain.MaxGang
-	f.count(c, unbounded, available)
+	f.countTasks(c, unbounded, available)
 	best := 0
 	switch shape.Adjacency {
 	case domain.SameWorker:
-		return slices.Max(append(f.counts, 0))
+		return slices.Max(append(f.taskCounts, 0))
 	case domain.SameRack, domain.NeighbouringRack:
 		width := 1
 		if shape.Adjacency == domain.NeighbouringRack {
 			width = neighbouringRacks
 		}
 		for r := range c.Racks {
-			tasks, _ := f.sum(c, c.Racks[r].First, c.windowEnd(r, width), BestFit)
+			tasks, _ := f.sumWindow(c, c.Racks[r].First, c.windowEnd(r, width), BestFit)
 			best = max(best, tasks)
 		}
 		return best
 	}
-	best, _ = f.sum(c, 0, len(c.Nodes), BestFit)
+	best, _ = f.sumWindow(c, 0, len(c.Nodes), BestFit)
 	return best
 }
--- a/scheduler/placement/fragmentation.go
+++ b/scheduler/placement/fragmentation.go
@@ -2,8 +2,8 @@
 
 import "github.com/cobalttide/cobalttide/domain"
 
-// Fragmentation returns the free accelerators of a cluster, and how many of
-// them are left over when as many blocks of the shape as possible are placed.
+// Fragmentation returns the free accelerators of a cluster, and how many of them are left
+// over after as many blocks of the shape as possible have been placed.
 func Fragmentation(c *Cluster, shape domain.Shape) (free, unusable int) {
 	scratch := &Cluster{Nodes: append([]Node(nil), c.Nodes...), Racks: c.Racks, index: c.index}
 	for i := range scratch.Nodes {
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -10,28 +10,27 @@
 	"github.com/cobalttide/cobalttide/scheduler/quota"
 )
 
-// verdict is what a filter says of a waiting job.
-type verdict int
+// decision is the result of a filter for a waiting job.
+type decision int
 
 const (
-	pass verdict = iota // the next filter decides
-	done                // started, or its place is booked
-	hold                // waits; the filter has noted why
+	pass decision = iota // the next filter decides
+	done                 // started, or a place is allocated to it
+	wait                 // waits; the filter has recorded the reason
 )
 
-// filter is one step of the pipe.
-type filter func(c *cycle, w *Waiting) verdict
+// filter is one step of the filter chain.
+type filter func(c *cycle, w *Waiting) decision
 
-// claims are the filters that every job sees first: what an account is
-// guaranteed is settled before anyone borrows, so that a place which borrowers
-// were stopped for can't be borrowed again. spare are those that follow, once
-// all claims are settled.
+// claimFilters are applied to every job first: guarantees are settled before any job
+// borrows, so that a place for which borrowers were preempted can't be borrowed again.
+// spareFilters are applied after that, to the jobs that are still undecided.
 var (
-	claims = []filter{feasible, teamCeiling, claimed}
-	spare  = []filter{beside, guaranteed, accountCeiling, borrow, urgent, consolidate, starved}
+	claimFilters = []filter{checkFeasible, checkTeamCeiling, claimCells}
+	spareFilters = []filter{placeOutsideCells, placeInCells, checkAccountCeiling, borrow, preemptForUrgent, consolidate, preemptForStarved}
 )
 
-// cycle is the state of one call of Plan.
+// cycle is the state of one scheduling cycle, which is one call of Make.
 type cycle struct {
 	Snapshot
 	policy  Policy
@@ -39,46 +38,45 @@
 	usage   *quota.Usage
 	finder  placement.Finder
 	gangs   []Gang
-	// onNode lists the indices in gangs of the preemptible gangs of a worker.
-	onNode   map[domain.WorkerID][]int
-	reserved map[domain.JobID]Reservation
-	failed   map[failedKey]placementFailure
-	// candidates may hold a reservation; nil when every job may.
+	// preemptibleOn lists for each worker the indices in gangs of its preemptible gangs.
+	preemptibleOn map[domain.WorkerID][]int
+	reserved      map[domain.JobID]Reservation
+	failures      map[searchKey]searchFailure
+	// candidates are the jobs that may hold a reservation; nil if every job may.
 	candidates map[domain.JobID]bool
-	// avoids are the jobs that keep off workers on which they have failed.
-	avoids map[domain.JobID]bool
-	// crowded is set while urgent or large jobs wait.
-	crowded bool
-	plan    Plan
+	// avoidsFailed are the jobs that avoid the workers on which they have failed.
+	avoidsFailed map[domain.JobID]bool
+	// hasUrgentOrLarge is set if urgent or large jobs are waiting.
+	hasUrgentOrLarge bool
+	plan             Plan
 }
 
-// Make decides what starts now.
+// Make decides which jobs start now and which gangs are preempted.
 func Make(s Snapshot, policy Policy) Plan {
 	c := newCycle(s, policy)
 	var undecided []*Waiting
 	for _, w := range c.order() {
-		if c.consider(w, claims) == pass {
+		if c.applyFilters(w, claimFilters) == pass {
 			undecided = append(undecided, w)
 		}
 	}
-	c.largeFirst(undecided)
+	c.prioritizeLarge(undecided)
 	for _, w := range undecided {
-		v := c.consider(w, spare)
-		if v == pass {
-			c.holdBack(w, HeldReserved, w.Job.Shape.Tasks, 0)
+		d := c.applyFilters(w, spareFilters)
+		if d == pass {
+			c.addHeld(w, HeldReserved, w.Job.Shape.Tasks, 0)
 		}
-		if v != done && policy.NoBackfill {
+		if d != done && policy.NoBackfill {
 			break
 		}
 	}
 	return c.plan
 }
 
-// largeFirst moves jobs that hold a reservation, or are the next to get one,
-// behind the urgent ones and before all others: what they wait for is decided
-// before it is borrowed. Among them those that have waited past the bound go
-// first.
-func (c *cycle) largeFirst(jobs []*Waiting) {
+// prioritizeLarge moves the jobs that hold a reservation, or are the next to get one,
+// behind the urgent jobs and before all others, so that the capacity that they wait for is
+// assigned before it is borrowed. Starved jobs go first among them.
+func (c *cycle) prioritizeLarge(jobs []*Waiting) {
 	if c.policy.FIFO {
 		return
 	}
@@ -104,7 +102,7 @@
 	return max(1, len(c.cluster.Racks)/c.policy.RacksPerReservation)
 }
 
-// chooseCandidates gives the free reservations to the oldest large jobs.
+// chooseCandidates assigns the free reservations to the oldest large jobs.
 func (c *cycle) chooseCandidates(jobs []*Waiting) {
 	c.candidates = map[domain.JobID]bool{}
 	for id := range c.reserved {
@@ -116,7 +114,7 @@
 			large = append(large, w)
 		}
 	}
-	slices.SortStableFunc(large, bySubmission)
+	slices.SortStableFunc(large, compareSubmission)
 	for _, w := range large {
 		if len(c.candidates) >= c.maxReservations() {
 			return
@@ -125,8 +123,8 @@
 	}
 }
 
-// isLarge tells whether a job needs more than one worker, or has waited so long
-// that it is treated like one that does.
+// isLarge reports whether a job needs more than one worker, or has waited longer than
+// Policy.StarveAfter and is treated like one that does.
 func (c *cycle) isLarge(w *Waiting) bool {
 	if c.policy.StarveAfter > 0 && c.Now.Sub(w.Since) > c.policy.StarveAfter {
 		return true
@@ -139,7 +137,7 @@
 	return reserved && c.policy.StarveAfter > 0 && c.Now.Sub(w.Since) > c.policy.StarveAfter
 }
 
-func (c *cycle) consider(w *Waiting, filters []filter) verdict {
+func (c *cycle) applyFilters(w *Waiting, filters []filter) decision {
 	for _, f := range filters {
 		if v := f(c, w); v != pass {
 			return v
@@ -150,31 +148,31 @@
 
 func newCycle(s Snapshot, policy Policy) *cycle {
 	c := &cycle{
-		Snapshot: s,
-		policy:   policy,
-		cluster:  NewCluster(s),
-		gangs:    append([]Gang(nil), s.Gangs...),
-		onNode:   map[domain.WorkerID][]int{},
-		reserved: map[domain.JobID]Reservation{},
-		failed:   map[failedKey]placementFailure{},
-		avoids:   map[domain.JobID]bool{},
+		Snapshot:      s,
+		policy:        policy,
+		cluster:       NewCluster(s),
+		gangs:         append([]Gang(nil), s.Gangs...),
+		preemptibleOn: map[domain.WorkerID][]int{},
+		reserved:      map[domain.JobID]Reservation{},
+		failures:      map[searchKey]searchFailure{},
+		avoidsFailed:  map[domain.JobID]bool{},
 	}
 	c.usage = quota.NewUsage(c.cluster.Capacity())
 	for i := range c.gangs {
-		c.book(i)
+		c.addGang(i)
 	}
 	if policy.Guarantees {
 		c.plan.Binding = BindCells(c.cluster, s)
 	}
-	c.keepReservations()
+	c.restoreReservations()
 	for i := range c.Waiting {
 		w := &c.Waiting[i]
-		c.crowded = c.crowded || w.Class.Urgent || c.isLarge(w)
+		c.hasUrgentOrLarge = c.hasUrgentOrLarge || w.Class.Urgent || c.isLarge(w)
 	}
 	return c
 }
 
-// NewCluster lays out the snapshot's workers with nothing on them.
+// NewCluster returns an empty cluster of the snapshot's workers.
 func NewCluster(s Snapshot) *placement.Cluster {
 	cluster := placement.NewCluster(s.Workers)
 	for id := range s.Unschedulable {
@@ -185,8 +183,8 @@
 	return cluster
 }
 
-// book enters a gang into usage and into what its workers hold.
-func (c *cycle) book(i int) {
+// addGang adds a gang to the usage and to what its workers hold.
+func (c *cycle) addGang(i int) {
 	g := &c.gangs[i]
 	c.usage.Add(g.Job, g.Guaranteed)
 	for _, a := range g.Placement {
@@ -199,17 +197,17 @@
 		switch {
 		case g.Stopping:
 			n.Stopping = n.Stopping.Add(amount)
-		case g.preemptible():
-			c.onNode[a.Worker] = append(c.onNode[a.Worker], i)
+		case g.isPreemptible():
+			c.preemptibleOn[a.Worker] = append(c.preemptibleOn[a.Worker], i)
 		case !g.Guaranteed:
 			n.Pinned = n.Pinned.Add(amount)
 		}
 	}
 }
 
-// BindCells binds the guarantees around what is pinned. Guaranteed gangs are
-// booked into their account's cells; what exceeds them, because a guarantee has
-// changed under them, is pinned.
+// BindCells binds the guarantees to the capacity that is not pinned. Guaranteed gangs are
+// assigned to their account's cells; what exceeds them, because the guarantee has changed
+// while they run, is pinned.
 func BindCells(cluster *placement.Cluster, s Snapshot) guarantee.Binding {
 	binder := guarantee.NewBinder(cluster, s.DataCentre, s.Accounts)
 	binder.Keep(s.Binding, cellsInUse(s))
@@ -227,18 +225,18 @@
 	return binder.Finish()
 }
 
-// cellsInUse tells which cells must stay where they are: those with a gang of
-// their account's guarantee on them, and those of accounts with jobs waiting,
-// for which borrowers may be stopping right now.
+// cellsInUse returns a function that reports whether a cell must stay where it is: because
+// a guaranteed gang of its account runs on it, or because its account has waiting jobs,
+// for which borrowers may be stopping.
 func cellsInUse(s Snapshot) func(guarantee.Cell) bool {
-	type place struct {
+	type accountOnWorker struct {
 		account domain.AccountID
 		worker  domain.WorkerID
 	}
-	used := map[place]bool{}
-	claimed := map[domain.AccountID]bool{}
+	used := map[accountOnWorker]bool{}
+	hasWaiting := map[domain.AccountID]bool{}
 	for i := range s.Waiting {
-		claimed[s.Waiting[i].Job.Account] = true
+		hasWaiting[s.Waiting[i].Job.Account] = true
 	}
 	for i := range s.Gangs {
 		g := &s.Gangs[i]
@@ -246,15 +244,15 @@
 			continue
 		}
 		for _, a := range g.Placement {
-			used[place{g.Job.Account, a.Worker}] = true
+			used[accountOnWorker{g.Job.Account, a.Worker}] = true
 		}
 	}
 	return func(cell guarantee.Cell) bool {
-		if claimed[cell.Account] {
+		if hasWaiting[cell.Account] {
 			return true
 		}
 		for _, a := range cell.Placement {
-			if used[place{cell.Account, a.Worker}] {
+			if used[accountOnWorker{cell.Account, a.Worker}] {
 				return true
 			}
 		}
@@ -262,21 +260,21 @@
 	}
 }
 
-// keepReservations drops reservations of jobs that no longer wait, and marks
-// the workers of the others.
-func (c *cycle) keepReservations() {
+// restoreReservations drops the reservations of jobs that no longer wait and marks the
+// workers of the others.
+func (c *cycle) restoreReservations() {
 	waiting := make(map[domain.JobID]bool, len(c.Waiting))
 	for i := range c.Waiting {
 		waiting[c.Waiting[i].Job.ID] = true
 	}
 	for _, r := range c.Reservations {
 		if waiting[r.Job] && len(c.reserved) < c.maxReservations() {
-			c.mark(r)
+			c.markReserved(r)
 		}
 	}
 }
 
-func (c *cycle) mark(r Reservation) {
+func (c *cycle) markReserved(r Reservation) {
 	c.reserved[r.Job] = r
 	for _, id := range r.Workers {
 		if n := c.cluster.Node(id); n != nil {
@@ -286,7 +284,7 @@
 	}
 }
 
-func (c *cycle) unmark(job domain.JobID) {
+func (c *cycle) dropReservation(job domain.JobID) {
 	for _, id := range c.reserved[job].Workers {
 		if n := c.cluster.Node(id); n != nil && n.ReservedFor == job {
 			n.ReservedFor = ""
@@ -296,15 +294,15 @@
 	delete(c.reserved, job)
 }
 
-// start books the job and notes it in the plan.
+// start allocates the placement and adds the start to the plan.
 func (c *cycle) start(w *Waiting, p domain.Placement, guaranteed bool) {
-	c.unmark(w.Job.ID)
-	c.occupy(w, p, guaranteed)
+	c.dropReservation(w.Job.ID)
+	c.allocate(w, p, guaranteed)
 	c.plan.Starts = append(c.plan.Starts, Start{Job: w.Job.ID, Placement: p, Guaranteed: guaranteed})
 }
 
-// occupy takes the place, so that no later job of this plan can.
-func (c *cycle) occupy(w *Waiting, p domain.Placement, guaranteed bool) {
+// allocate reserves the placement for the job within this plan.
+func (c *cycle) allocate(w *Waiting, p domain.Placement, guaranteed bool) {
 	c.usage.Add(w.Job, guaranteed)
 	for _, a := range p {
 		n := c.cluster.Node(a.Worker)
@@ -319,7 +317,7 @@
 	}
 }
 
-func (c *cycle) holdBack(w *Waiting, reason HeldReason, need, have int) {
+func (c *cycle) addHeld(w *Waiting, reason HeldReason, need, have int) {
 	held := Held{Job: w.Job.ID, Reason: reason, Need: need, Have: have}
 	if r, ok := c.reserved[w.Job.ID]; ok {
 		held.StartBy = r.Start
--- a/scheduler/plan_test.go
+++ b/scheduler/plan_test.go
@@ -17,11 +17,11 @@
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 var (
-	now      = time.Unix(1_000_000, 0)
-	again    = domain.Class{Kind: domain.JobClass, Idempotent: true}
-	hurry    = domain.Class{Kind: domain.JobClass, Idempotent: true, Urgent: true, Priority: 9}
-	pinned   = domain.Class{Kind: domain.JobClass}
-	wholeRow = domain.Shape{Tasks: 4, PerTask: domain.Resources{Accelerators: 8}, Adjacency: domain.SameRack}
+	now             = time.Unix(1_000_000, 0)
+	idempotentClass = domain.Class{Kind: domain.JobClass, Idempotent: true}
+	urgentClass     = domain.Class{Kind: domain.JobClass, Idempotent: true, Urgent: true, Priority: 9}
+	pinnedClass     = domain.Class{Kind: domain.JobClass}
+	wholeRack       = domain.Shape{Tasks: 4, PerTask: domain.Resources{Accelerators: 8}, Adjacency: domain.SameRack}
 )
 
 func fleet(racks, perRack int) []domain.Worker {
@@ -37,7 +37,7 @@
 	return out
 }
 
-func guaranteeing(shapes ...domain.Shape) domain.ClientAccount {
+func accountWithGuarantees(shapes ...domain.Shape) domain.ClientAccount {
 	account := domain.ClientAccount{Weight: 1}
 	for _, s := range shapes {
 		account.Guarantees = append(account.Guarantees, domain.Guarantee{DataCentre: "dc", Shape: s, Count: 1})
@@ -45,7 +45,7 @@
 	return account
 }
 
-func waiting(id string, account domain.AccountID, class domain.Class, shape domain.Shape, age time.Duration) Waiting {
+func waitingJob(id string, account domain.AccountID, class domain.Class, shape domain.Shape, age time.Duration) Waiting {
 	job := domain.Job{ID: domain.JobID(id), Account: account, Shape: shape, Submitted: now.Add(-age)}
 	return Waiting{Job: job, Class: class, Since: job.Submitted, Expected: time.Hour}
 }
@@ -54,16 +54,16 @@
 	return Gang{Job: w.Job, Class: w.Class, Placement: p, Guaranteed: guaranteed, Started: now, Saved: now, Remaining: w.Expected}
 }
 
-// The demo with faults ran one urgent borrower and one guaranteed gang in turns
-// for half a minute: each stop made room that the borrower, being urgent, took
-// back first.
-func TestPlaceThatWasReclaimedIsNotBorrowedAgain(t *testing.T) {
+// Guards against an urgent borrower and a guaranteed gang preempting each other in turns:
+// each preemption freed capacity that the borrower, being urgent, took back first. The
+// demo with faults did this for half a minute.
+func TestReclaimedCapacityIsNotBorrowedAgain(t *testing.T) {
 	s := Snapshot{
 		Now: now, DataCentre: "dc", Workers: fleet(1, 4),
-		Accounts: map[domain.AccountID]domain.ClientAccount{"a": guaranteeing(wholeRow), "b": {Weight: 1}},
+		Accounts: map[domain.AccountID]domain.ClientAccount{"a": accountWithGuarantees(wholeRack), "b": {Weight: 1}},
 	}
-	borrower := waiting("borrower", "b", hurry, wholeRow, time.Minute)
-	owner := waiting("owner", "a", again, wholeRow, time.Second)
+	borrower := waitingJob("borrower", "b", urgentClass, wholeRack, time.Minute)
+	owner := waitingJob("owner", "a", idempotentClass, wholeRack, time.Second)
 	s.Waiting = []Waiting{borrower}
 	first := Make(s, DefaultPolicy())
 	if len(first.Starts) != 1 {
@@ -74,21 +74,21 @@
 	s.Binding = first.Binding
 	second := Make(s, DefaultPolicy())
 	if len(second.Preemptions) != 1 {
-		t.Fatalf("the owner does not reclaim: %+v", second.Held)
+		t.Fatalf("the owner does not reclaim its cell; held: %+v", second.Held)
 	}
 	s.Gangs = nil
 	s.Waiting = []Waiting{borrower, owner}
 	third := Make(s, DefaultPolicy())
 	if len(third.Starts) != 1 || third.Starts[0].Job != "owner" {
-		t.Fatalf("after the borrower has stopped, %+v start", third.Starts)
+		t.Fatalf("started after the borrower has stopped: %+v, want the owner only", third.Starts)
 	}
 }
 
-// model applies plans to a fleet and lets gangs end at random.
+// model applies plans to a fleet and ends gangs at random.
 type model struct {
-	s      Snapshot
-	policy Policy
-	serial int
+	snapshot Snapshot
+	policy   Policy
+	serial   int
 }
 
 func newModel(t *rapid.T) *model {
@@ -99,79 +99,79 @@
 			Adjacency: rapid.SampledFrom([]domain.Adjacency{domain.SameRack, domain.NeighbouringRack, domain.Anywhere}).Draw(t, "adjacency"),
 		}
 	}), 1, 4).Draw(t, "shapes")
-	m := &model{policy: DefaultPolicy(), s: Snapshot{
+	m := &model{policy: DefaultPolicy(), snapshot: Snapshot{
 		Now: now, DataCentre: "dc", Workers: fleet(3, 4), Unschedulable: map[domain.WorkerID]bool{},
-		Accounts: map[domain.AccountID]domain.ClientAccount{"a": guaranteeing(shapes[0]), "b": guaranteeing(shapes[1:]...), "c": {Weight: 1}},
+		Accounts: map[domain.AccountID]domain.ClientAccount{"a": accountWithGuarantees(shapes[0]), "b": accountWithGuarantees(shapes[1:]...), "c": {Weight: 1}},
 	}}
 	return m
 }
 
 func (m *model) submit(t *rapid.T) {
 	m.serial++
-	class := rapid.SampledFrom([]domain.Class{again, hurry, pinned}).Draw(t, "class")
+	class := rapid.SampledFrom([]domain.Class{idempotentClass, urgentClass, pinnedClass}).Draw(t, "class")
 	account := rapid.SampledFrom([]domain.AccountID{"a", "b", "c"}).Draw(t, "account")
 	shape := domain.Shape{
 		Tasks:     rapid.IntRange(1, 4).Draw(t, "tasks"),
 		PerTask:   domain.Resources{Accelerators: rapid.SampledFrom([]int{1, 2, 4, 8}).Draw(t, "accelerators")},
 		Adjacency: rapid.SampledFrom([]domain.Adjacency{domain.SameWorker, domain.SameRack, domain.Anywhere}).Draw(t, "adjacency"),
 	}
-	w := waiting(fmt.Sprint("j", m.serial), account, class, shape, 0)
-	w.Job.Submitted, w.Since = m.s.Now, m.s.Now
-	m.s.Waiting = append(m.s.Waiting, w)
+	w := waitingJob(fmt.Sprint("j", m.serial), account, class, shape, 0)
+	w.Job.Submitted, w.Since = m.snapshot.Now, m.snapshot.Now
+	m.snapshot.Waiting = append(m.snapshot.Waiting, w)
 }
 
 func (m *model) plan() Plan {
-	plan := Make(m.s, m.policy)
-	m.s.Binding = plan.Binding
-	m.s.Reservations = plan.Reservations
+	plan := Make(m.snapshot, m.policy)
+	m.snapshot.Binding = plan.Binding
+	m.snapshot.Reservations = plan.Reservations
 	for _, p := range plan.Preemptions {
-		for i := range m.s.Gangs {
-			if m.s.Gangs[i].Job.ID == p.Job {
-				m.s.Gangs[i].Stopping = true
+		for i := range m.snapshot.Gangs {
+			if m.snapshot.Gangs[i].Job.ID == p.Job {
+				m.snapshot.Gangs[i].Stopping = true
 			}
 		}
 	}
 	for _, start := range plan.Starts {
-		for i, w := range m.s.Waiting {
+		for i, w := range m.snapshot.Waiting {
 			if w.Job.ID == start.Job {
-				m.s.Gangs = append(m.s.Gangs, gangOf(w, start.Placement, start.Guaranteed))
-				m.s.Waiting = append(m.s.Waiting[:i], m.s.Waiting[i+1:]...)
+				m.snapshot.Gangs = append(m.snapshot.Gangs, gangOf(w, start.Placement, start.Guaranteed))
+				m.snapshot.Waiting = append(m.snapshot.Waiting[:i], m.snapshot.Waiting[i+1:]...)
 				break
 			}
 		}
 	}
-	m.s.Now = m.s.Now.Add(time.Second)
+	m.snapshot.Now = m.snapshot.Now.Add(time.Second)
 	return plan
 }
 
-// stopped removes gangs that were stopping; their jobs wait again.
-func (m *model) stopped() {
-	var left []Gang
-	for _, g := range m.s.Gangs {
+// removeStopping removes the gangs that are stopping; their jobs wait again.
+func (m *model) removeStopping() {
+	var remaining []Gang
+	for _, g := range m.snapshot.Gangs {
 		if !g.Stopping {
-			left = append(left, g)
+			remaining = append(remaining, g)
 			continue
 		}
-		m.s.Waiting = append(m.s.Waiting, Waiting{Job: g.Job, Class: g.Class, Since: g.Job.Submitted, Expected: time.Hour})
+		m.snapshot.Waiting = append(m.snapshot.Waiting, Waiting{Job: g.Job, Class: g.Class, Since: g.Job.Submitted, Expected: time.Hour})
 	}
-	m.s.Gangs = left
+	m.snapshot.Gangs = remaining
 }
 
-// check: no worker holds more than it has, and everybody's unused cells lie on
-// what is free or held by preemptible borrowers.
-func (m *model) check(t *rapid.T) {
-	used := placement.NewCluster(m.s.Workers)
-	for _, g := range m.s.Gangs {
+// checkInvariants checks that no worker holds more than its capacity, and that all unused
+// cells lie on capacity that is free or held by preemptible borrowers.
+func (m *model) checkInvariants(t *rapid.T) {
+	used := placement.NewCluster(m.snapshot.Workers)
+	for _, g := range m.snapshot.Gangs {
 		used.Hold(g.Placement, g.Job.Shape.PerTask)
 	}
 	for i := range used.Nodes {
 		if used.Nodes[i].Free().Negative() {
-			t.Fatalf("worker %s holds more than it has", used.Nodes[i].Worker.ID)
+			t.Fatalf("worker %s holds more than its capacity", used.Nodes[i].Worker.ID)
 		}
 	}
-	cells := NewCluster(m.s)
-	for i := range m.s.Gangs {
-		g := &m.s.Gangs[i]
+	cells := NewCluster(m.snapshot)
+	for i := range m.snapshot.Gangs {
+		g := &m.snapshot.Gangs[i]
 		for _, a := range g.Placement {
 			n := cells.Node(a.Worker)
 			if !g.Guaranteed && !g.Class.Preemptible() {
@@ -179,43 +179,43 @@
 			}
 		}
 	}
-	guarantee.Bind(cells, "dc", m.s.Accounts, m.s.Binding)
+	guarantee.Bind(cells, "dc", m.snapshot.Accounts, m.snapshot.Binding)
 	if v := guarantee.Violations(cells); len(v) > 0 {
 		t.Fatalf("the reclaim invariant is broken: %+v", v)
 	}
 }
 
-// reclaims checks the promise itself: with nothing of its guarantee in use, an
-// account that submits its guaranteed shape has it running once the borrowers
-// that the plan names have stopped.
-func (m *model) reclaims(t *rapid.T) {
-	for account, declared := range m.s.Accounts {
+// checkReclaim checks the guarantee itself: an account that uses none of its guarantee and
+// submits its guaranteed shape has that job running after the borrowers that the plan
+// preempts have stopped.
+func (m *model) checkReclaim(t *rapid.T) {
+	for account, declared := range m.snapshot.Accounts {
 		for i, g := range declared.Guarantees {
-			if m.unmet(account, g.Shape) || m.uses(account) {
+			if m.isUnmet(account, g.Shape) || m.usesGuarantee(account) {
 				continue
 			}
 			probe := *m
-			probe.s.Gangs = append([]Gang(nil), m.s.Gangs...)
+			probe.snapshot.Gangs = append([]Gang(nil), m.snapshot.Gangs...)
 			id := fmt.Sprintf("probe-%s-%d", account, i)
-			probe.s.Waiting = []Waiting{waiting(id, account, again, g.Shape, 0)}
+			probe.snapshot.Waiting = []Waiting{waitingJob(id, account, idempotentClass, g.Shape, 0)}
 			for range 3 {
 				probe.plan()
-				probe.stopped()
-				// The account's other jobs could take the cell in its stead;
-				// that is its own choice, and not what is asked here.
-				probe.s.Waiting = slices.DeleteFunc(probe.s.Waiting, func(w Waiting) bool {
+				probe.removeStopping()
+				// The account's other jobs could take the cell instead of the probe. That
+				// is allowed and not what is checked here.
+				probe.snapshot.Waiting = slices.DeleteFunc(probe.snapshot.Waiting, func(w Waiting) bool {
 					return w.Job.Account == account && w.Job.ID != domain.JobID(id)
 				})
 			}
-			if !probe.runs(domain.JobID(id)) {
-				t.Fatalf("account %s can't reclaim %+v: held %+v", account, g.Shape, Make(probe.s, probe.policy).Held)
+			if !probe.isRunning(domain.JobID(id)) {
+				t.Fatalf("account %s can't reclaim %+v: held %+v", account, g.Shape, Make(probe.snapshot, probe.policy).Held)
 			}
 		}
 	}
 }
 
-func (m *model) uses(account domain.AccountID) bool {
-	for _, g := range m.s.Gangs {
+func (m *model) usesGuarantee(account domain.AccountID) bool {
+	for _, g := range m.snapshot.Gangs {
 		if g.Job.Account == account && g.Guaranteed {
 			return true
 		}
@@ -223,8 +223,8 @@
 	return false
 }
 
-func (m *model) unmet(account domain.AccountID, shape domain.Shape) bool {
-	for _, u := range m.s.Binding.Unmet {
+func (m *model) isUnmet(account domain.AccountID, shape domain.Shape) bool {
+	for _, u := range m.snapshot.Binding.Unmet {
 		if u.Account == account && u.Shape == shape {
 			return true
 		}
@@ -232,8 +232,8 @@
 	return false
 }
 
-func (m *model) runs(id domain.JobID) bool {
-	for _, g := range m.s.Gangs {
+func (m *model) isRunning(id domain.JobID) bool {
+	for _, g := range m.snapshot.Gangs {
 		if g.Job.ID == id && !g.Stopping {
 			return true
 		}
@@ -241,86 +241,85 @@
 	return false
 }
 
-// driveModel holds the guarantees' invariant over random jobs, ends and losses.
-// breakPlan, if given, spoils each step, for the tests of this test.
-func driveModel(t *rapid.T, breakPlan func(m *model)) {
+// runModel checks the invariants of the guarantees over random jobs, ends and losses of
+// workers. mutate, if given, breaks each step, for the tests of this property.
+func runModel(t *rapid.T, mutate func(m *model)) {
 	m := newModel(t)
 	m.plan()
 	t.Repeat(map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
-			if breakPlan != nil {
-				breakPlan(m)
+			if mutate != nil {
+				mutate(m)
 			}
-			m.check(t)
-			m.reclaims(t)
+			m.checkInvariants(t)
+			m.checkReclaim(t)
 		},
 		"submit": m.submit, "submit again": m.submit,
 		"plan":    func(*rapid.T) { m.plan() },
-		"stopped": func(*rapid.T) { m.stopped() },
+		"stopped": func(*rapid.T) { m.removeStopping() },
 		"end": func(t *rapid.T) {
-			if len(m.s.Gangs) == 0 {
+			if len(m.snapshot.Gangs) == 0 {
 				t.Skip("nothing runs")
 			}
-			i := rapid.IntRange(0, len(m.s.Gangs)-1).Draw(t, "gang")
-			m.s.Gangs = append(m.s.Gangs[:i:i], m.s.Gangs[i+1:]...)
+			i := rapid.IntRange(0, len(m.snapshot.Gangs)-1).Draw(t, "gang")
+			m.snapshot.Gangs = append(m.snapshot.Gangs[:i:i], m.snapshot.Gangs[i+1:]...)
 		},
 		"lose or regain a worker": func(t *rapid.T) {
-			id := rapid.SampledFrom(m.s.Workers).Draw(t, "worker").ID
-			m.s.Unschedulable[id] = !m.s.Unschedulable[id]
-			if m.s.Unschedulable[id] {
-				m.lose(id)
+			id := rapid.SampledFrom(m.snapshot.Workers).Draw(t, "worker").ID
+			m.snapshot.Unschedulable[id] = !m.snapshot.Unschedulable[id]
+			if m.snapshot.Unschedulable[id] {
+				m.loseWorker(id)
 			} else {
-				delete(m.s.Unschedulable, id)
+				delete(m.snapshot.Unschedulable, id)
 			}
 			m.plan()
 		},
 	})
 }
 
-// lose ends every gang with a member on the worker.
-func (m *model) lose(id domain.WorkerID) {
-	var left []Gang
-	for _, g := range m.s.Gangs {
+// loseWorker ends every gang with a member on the worker.
+func (m *model) loseWorker(id domain.WorkerID) {
+	var remaining []Gang
+	for _, g := range m.snapshot.Gangs {
 		hit := false
 		for _, a := range g.Placement {
 			hit = hit || a.Worker == id
 		}
 		if !hit {
-			left = append(left, g)
+			remaining = append(remaining, g)
 		}
 	}
-	m.s.Gangs = left
+	m.snapshot.Gangs = remaining
 }
 
 func TestGuaranteesCanAlwaysBeReclaimed(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { driveModel(t, nil) })
+	rapid.Check(t, func(t *rapid.T) { runModel(t, nil) })
 }
 
 func TestReclaimPropertyCatchesMutants(t *testing.T) {
 	mutants := map[string]func(*model){
 		"guarantees are ignored": func(m *model) { m.policy.Guarantees = false },
 		"borrowers that can't be preempted may use cells": func(m *model) {
-			for i := range m.s.Gangs {
-				if !m.s.Gangs[i].Guaranteed {
-					m.s.Gangs[i].Class = pinned
+			for i := range m.snapshot.Gangs {
+				if !m.snapshot.Gangs[i].Guaranteed {
+					m.snapshot.Gangs[i].Class = pinnedClass
 				}
 			}
 		},
 	}
 	for name, mutate := range mutants {
 		t.Run(name, func(t *testing.T) {
-			if !seeded.Catches(t, func(t *rapid.T) { driveModel(t, mutate) }) {
-				t.Fatal("the property does not notice this mutant")
+			if !seeded.Catches(t, func(t *rapid.T) { runModel(t, mutate) }) {
+				t.Fatal("the property does not detect this mutant")
 			}
 		})
 	}
 }
 
-// Whatever is submitted, if nothing new comes then everything that can run at
-// all ends: no two jobs take a place from each other in turns for ever. Found
-// by the demo with faults, where two borrowers and an urgent gang did. A gang
-// needs three undisturbed rounds; one that is stopped begins anew.
-func TestEveryJobEndsOnceNothingNewComes(t *testing.T) {
+// Guards against jobs that preempt each other in turns for ever: if nothing new is
+// submitted, every job that can run at all ends. In the demo with faults two borrowers and
+// an urgent gang did not. A gang needs three undisturbed rounds; a preempted one restarts.
+func TestEveryJobEndsWithoutNewArrivals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		m.policy.StarveAfter = 30 * time.Second
@@ -328,38 +327,38 @@
 		for range rapid.IntRange(2, 12).Draw(t, "jobs") {
 			m.submit(t)
 		}
-		for i := range m.s.Waiting {
+		for i := range m.snapshot.Waiting {
 			if rapid.Bool().Draw(t, "has failed somewhere") {
-				m.s.Waiting[i].Avoid = []domain.WorkerID{rapid.SampledFrom(m.s.Workers).Draw(t, "on").ID}
+				m.snapshot.Waiting[i].Avoid = []domain.WorkerID{rapid.SampledFrom(m.snapshot.Workers).Draw(t, "on").ID}
 			}
-			m.s.Waiting[i].Expected = time.Duration(rapid.SampledFrom([]int{1, 600, 4000}).Draw(t, "expected")) * time.Second
+			m.snapshot.Waiting[i].Expected = time.Duration(rapid.SampledFrom([]int{1, 600, 4000}).Draw(t, "expected")) * time.Second
 		}
 		for range rapid.IntRange(0, 5).Draw(t, "lost workers") {
-			m.s.Unschedulable[rapid.SampledFrom(m.s.Workers).Draw(t, "lost").ID] = true
+			m.snapshot.Unschedulable[rapid.SampledFrom(m.snapshot.Workers).Draw(t, "lost").ID] = true
 		}
 		avoid := map[domain.JobID][]domain.WorkerID{}
-		for _, w := range m.s.Waiting {
+		for _, w := range m.snapshot.Waiting {
 			avoid[w.Job.ID] = w.Avoid
 		}
-		total := len(m.s.Waiting)
+		total := len(m.snapshot.Waiting)
 		ran := map[domain.JobID]int{}
-		for round := 0; len(m.s.Gangs)+len(m.s.Waiting) > 0; round++ {
+		for round := 0; len(m.snapshot.Gangs)+len(m.snapshot.Waiting) > 0; round++ {
 			plan := m.plan()
-			if stuck := len(m.s.Gangs) == 0 && neverRunnable(plan) == len(m.s.Waiting); stuck {
-				return // what is left can't run on this fleet beside the guarantees
+			if stuck := len(m.snapshot.Gangs) == 0 && countNeverRunnable(plan) == len(m.snapshot.Waiting); stuck {
+				return // the remaining jobs can't run on these workers outside the guarantees
 			}
 			if round > 100+20*total {
-				t.Fatalf("%d of %d jobs have not ended: running %v, held %+v", len(m.s.Gangs)+len(m.s.Waiting), total, ids(m.s.Gangs), plan.Held)
+				t.Fatalf("%d of %d jobs have not ended: running %v, held %+v", len(m.snapshot.Gangs)+len(m.snapshot.Waiting), total, jobIDs(m.snapshot.Gangs), plan.Held)
 			}
 			m.advance(ran)
-			for i := range m.s.Waiting {
-				m.s.Waiting[i].Avoid = avoid[m.s.Waiting[i].Job.ID]
+			for i := range m.snapshot.Waiting {
+				m.snapshot.Waiting[i].Avoid = avoid[m.snapshot.Waiting[i].Job.ID]
 			}
 		}
 	})
 }
 
-func neverRunnable(p Plan) int {
+func countNeverRunnable(p Plan) int {
 	n := 0
 	for _, held := range p.Held {
 		if held.Reason == HeldNeverRunnable {
@@ -369,7 +368,7 @@
 	return n
 }
 
-func ids(gangs []Gang) []domain.JobID {
+func jobIDs(gangs []Gang) []domain.JobID {
 	var out []domain.JobID
 	for _, g := range gangs {
 		out = append(out, g.Job.ID)
@@ -377,21 +376,21 @@
 	return out
 }
 
-// advance lets a round pass: gangs that were told to stop are gone, and those
-// that have had three rounds end.
+// advance plays one round: gangs that were stopping are removed, and those that have run
+// for three rounds end.
 func (m *model) advance(ran map[domain.JobID]int) {
-	for _, g := range m.s.Gangs {
+	for _, g := range m.snapshot.Gangs {
 		if g.Stopping {
 			ran[g.Job.ID] = 0
 		}
 	}
-	m.stopped()
-	var left []Gang
-	for _, g := range m.s.Gangs {
+	m.removeStopping()
+	var remaining []Gang
+	for _, g := range m.snapshot.Gangs {
 		if ran[g.Job.ID]++; ran[g.Job.ID] < 3 {
-			left = append(left, g)
+			remaining = append(remaining, g)
 		}
 	}
-	m.s.Gangs = left
-	m.s.Now = m.s.Now.Add(5 * time.Second)
+	m.snapshot.Gangs = remaining
+	m.snapshot.Now = m.snapshot.Now.Add(5 * time.Second)
 }
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -1,15 +1,15 @@
-// Package quota keeps accounts' and teams' use apart from placement: nominal
-// quotas, ceilings, borrowing and the dominant share (DRF, NSDI 2011) by which
-// accounts take turns at spare capacity.
+// Package quota accounts for what client accounts and teams use, independently of
+// placement: nominal quotas, ceilings, borrowing, and the dominant share (DRF, NSDI 2011)
+// by which accounts take turns at spare capacity.
 package quota
 
 import (
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Usage is what each account and team uses in one data centre.
+// Usage holds what each account and team uses in one data centre.
 type Usage struct {
-	// Capacity is the whole fleet's, the denominator of shares.
+	// Capacity is that of all schedulable workers, the denominator of shares.
 	Capacity domain.Resources
 	accounts map[domain.AccountID]domain.Resources
 	borrowed map[domain.AccountID]int
@@ -21,7 +21,7 @@
 	team    domain.TeamID
 }
 
-// NewUsage returns the usage of an idle fleet.
+// NewUsage returns an empty usage.
 func NewUsage(capacity domain.Resources) *Usage {
 	return &Usage{
 		Capacity: capacity,
@@ -31,7 +31,7 @@
 	}
 }
 
-// Add books a gang. Guaranteed gangs count for teams, but not as borrowed.
+// Add adds a gang. A guaranteed gang counts towards its team's use, but is not borrowed.
 func (u *Usage) Add(job domain.Job, guaranteed bool) {
 	u.accounts[job.Account] = u.accounts[job.Account].Add(job.Shape.Total())
 	u.teams[teamKey{job.Account, job.Team}] += job.Shape.Accelerators()
@@ -40,8 +40,8 @@
 	}
 }
 
-// DominantShare is the account's largest share of any resource, divided by its
-// weight; the account with the lowest goes first.
+// DominantShare returns the account's largest share of any resource, divided by its
+// weight. The account with the lowest value goes first.
 func (u *Usage) DominantShare(id domain.AccountID, weight int) float64 {
 	used := u.accounts[id]
 	share := ratio(used.Accelerators, u.Capacity.Accelerators)
@@ -57,17 +57,16 @@
 	return float64(part) / float64(whole)
 }
 
-// Block is why a quota holds a job back.
-type Block struct {
+// Exceeded describes a limit that a job would exceed.
+type Exceeded struct {
 	// Limit names the limit: "team-ceiling" or "account-ceiling".
 	Limit string
-	// Need and Have are accelerators: what the job would bring the use to, and
-	// the limit.
+	// Need and Have are accelerators: the use that the job would lead to, and the limit.
 	Need, Have int
 }
 
-// TeamBlock returns the team's ceiling when the job would exceed it.
-func (u *Usage) TeamBlock(job domain.Job, account domain.ClientAccount) *Block {
+// CheckTeamCeiling returns the team's ceiling if the job would exceed it, or nil.
+func (u *Usage) CheckTeamCeiling(job domain.Job, account domain.ClientAccount) *Exceeded {
 	team, declared := account.Teams[job.Team]
 	if !declared || team.Ceiling == 0 {
 		return nil
@@ -76,12 +75,12 @@
 	if need <= team.Ceiling {
 		return nil
 	}
-	return &Block{Limit: "team-ceiling", Need: need, Have: team.Ceiling}
+	return &Exceeded{Limit: "team-ceiling", Need: need, Have: team.Ceiling}
 }
 
-// BorrowBlock returns the account's ceiling on borrowing when the job would
-// exceed it.
-func (u *Usage) BorrowBlock(job domain.Job, account domain.ClientAccount) *Block {
+// CheckAccountCeiling returns the account's ceiling on borrowing if the job would exceed
+// it, or nil.
+func (u *Usage) CheckAccountCeiling(job domain.Job, account domain.ClientAccount) *Exceeded {
 	if account.Ceiling == 0 {
 		return nil
 	}
@@ -89,12 +88,12 @@
 	if need <= account.Ceiling {
 		return nil
 	}
-	return &Block{Limit: "account-ceiling", Need: need, Have: account.Ceiling}
+	return &Exceeded{Limit: "account-ceiling", Need: need, Have: account.Ceiling}
 }
 
-// OverNominal tells whether the job's team already uses its nominal quota, so
-// that teams within theirs go first.
-func (u *Usage) OverNominal(job domain.Job, account domain.ClientAccount) bool {
+// IsOverNominal reports whether the job's team already uses its whole nominal quota. Teams
+// within theirs go first.
+func (u *Usage) IsOverNominal(job domain.Job, account domain.ClientAccount) bool {
 	team, declared := account.Teams[job.Team]
 	return declared && u.teams[teamKey{job.Account, job.Team}] >= team.Nominal
 }
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -1,11 +1,12 @@
-// Package scheduler decides which jobs of one data centre start, and which
-// borrowers make room for them. Plan is a pure function of a Snapshot: no
-// clock, no I/O, no goroutine. Whoever applies a plan checks it against the
-// present again; a stale plan costs a reservation, never a promise.
+// Package scheduler decides which jobs of one data centre start, and which borrowers are
+// preempted for them. Make is a pure function of a Snapshot: no clock, no I/O, no
+// goroutine. The caller checks a plan against the current state before applying it; a
+// stale plan may cost a reservation, but never breaks a guarantee.
 //
-// Every waiting job passes an ordered pipe of filters. First all claims are
-// settled: feasible, team-ceiling, claimed. Then the spare capacity goes:
-// beside, guaranteed, account-ceiling, borrow, urgent, consolidate, starved.
+// Every waiting job passes a chain of filters. The claims on guarantees are settled first:
+// checkFeasible, checkTeamCeiling, claimCells. The spare capacity is assigned after that:
+// placeOutsideCells, placeInCells, checkAccountCeiling, borrow, preemptForUrgent,
+// consolidate, preemptForStarved.
 package scheduler
 
 import (
@@ -16,36 +17,35 @@
 	"github.com/cobalttide/cobalttide/scheduler/placement"
 )
 
-// Policy is what can be set of the decisions.
+// Policy holds the settings of the scheduler.
 type Policy struct {
-	// Strategy chooses among blocks.
+	// Strategy selects among the blocks that fit.
 	Strategy placement.Strategy
-	// FIFO keeps the order of submission. Otherwise accounts take turns by
-	// dominant share, and within one account the highest response ratio goes
-	// first, which favours short jobs but lets every job age to the front.
+	// FIFO considers jobs in the order of submission. Otherwise accounts take turns by
+	// dominant share, and within one account the highest response ratio goes first, which
+	// favours short jobs but lets every job age to the front.
 	FIFO bool
-	// NoBackfill stops at the first job that has to wait.
+	// NoBackfill stops planning at the first job that has to wait.
 	NoBackfill bool
-	// Guarantees turns cells, reclaim and urgency on.
+	// Guarantees enables cells, reclaiming and urgency.
 	Guarantees bool
-	// RacksPerReservation bounds the large jobs that hold a reservation at once:
-	// one for every so many racks, and at least one; 0 allows none.
+	// RacksPerReservation limits the large jobs that hold a reservation at once: one per
+	// this many racks, and at least one; 0 allows none.
 	RacksPerReservation int
-	// StarveAfter is the wait after which a job with a reservation takes back
-	// what borrowers that came later hold of it; 0 never does.
+	// StarveAfter is the wait after which a job with a reservation preempts borrowers on
+	// its block that were submitted later; 0 disables this.
 	StarveAfter time.Duration
-	// ConsolidateGain is by how much the idle time that is saved has to exceed
-	// the work that is lost when borrowers are moved off a large job's block; 0
-	// never moves any.
+	// ConsolidateGain is the ratio of the idle time that is saved to the work that is
+	// lost, from which borrowers are moved off a large job's block; 0 disables this.
 	ConsolidateGain float64
-	// ConsolidateAfter is how long a borrower runs before it is moved.
+	// ConsolidateAfter is how long a borrower must have run before it is moved.
 	ConsolidateAfter time.Duration
-	// UrgentGrace bounds the time that borrowers get to checkpoint when urgent
-	// work needs their place.
+	// UrgentGrace is the longest time that borrowers get to checkpoint if they are
+	// preempted for urgent work.
 	UrgentGrace time.Duration
 }
 
-// DefaultPolicy is the one that ships.
+// DefaultPolicy returns the policy that is used unless another one is set.
 func DefaultPolicy() Policy {
 	return Policy{
 		Strategy:            placement.BestFit,
@@ -58,39 +58,39 @@
 	}
 }
 
-// Gang is one that holds resources.
+// Gang is a gang that holds resources.
 type Gang struct {
 	Job       domain.Job
 	Class     domain.Class
 	Placement domain.Placement
 	// Guaranteed gangs run within their account's cells and are not preempted.
 	Guaranteed bool
-	// Stopping gangs have been told to stop and still hold their resources.
+	// Stopping gangs have been ordered to stop and still hold their resources.
 	Stopping bool
 	Started  time.Time
-	// Saved is the time of its last checkpoint, or Started.
+	// Saved is the time of the last checkpoint, or Started.
 	Saved time.Time
-	// Remaining is the expected time until it ends.
+	// Remaining is the expected time until the gang ends.
 	Remaining time.Duration
 }
 
-func (g *Gang) preemptible() bool {
+func (g *Gang) isPreemptible() bool {
 	return !g.Guaranteed && !g.Stopping && g.Class.Preemptible()
 }
 
-// Waiting is a job that is to be placed.
+// Waiting is a job that waits to be placed.
 type Waiting struct {
 	Job   domain.Job
 	Class domain.Class
 	// Since is when the job was submitted.
 	Since time.Time
-	// Expected is its corrected run time.
+	// Expected is the run time, corrected by package estimate.
 	Expected time.Duration
-	// Avoid are workers on which it has failed.
+	// Avoid are the workers on which the job has failed.
 	Avoid []domain.WorkerID
 }
 
-// Reservation is a block that a large job is waiting for.
+// Reservation is a block that is reserved for a large job.
 type Reservation struct {
 	Job     domain.JobID
 	Workers []domain.WorkerID
@@ -98,14 +98,14 @@
 	Start time.Time
 }
 
-// Snapshot is everything that a plan depends on. Plan does not change it.
+// Snapshot is the input of Make, which does not change it.
 type Snapshot struct {
 	Now        time.Time
 	DataCentre domain.DataCentre
 	Accounts   map[domain.AccountID]domain.ClientAccount
 	Workers    []domain.Worker
-	// Unschedulable are workers that get nothing new: lost, drained or
-	// quarantined.
+	// Unschedulable are workers on which nothing new is placed: unreachable, draining,
+	// evacuated or quarantined.
 	Unschedulable map[domain.WorkerID]bool
 	// Binding and Reservations are those of the previous plan.
 	Binding      guarantee.Binding
@@ -114,7 +114,7 @@
 	Waiting      []Waiting
 }
 
-// Start puts a job on workers.
+// Start is the start of a job on workers.
 type Start struct {
 	Job        domain.JobID
 	Placement  domain.Placement
@@ -124,12 +124,12 @@
 // Preemption stops a borrower.
 type Preemption struct {
 	Job domain.JobID
-	// For is the job that needs the place.
+	// For is the job that needs the capacity.
 	For   domain.JobID
 	Grace time.Duration
 }
 
-// HeldReason is the filter that holds a job back; a stable code.
+// HeldReason is the reason for which a job is held back; a stable code.
 type HeldReason string
 
 // The reasons for which a job waits.
@@ -143,18 +143,18 @@
 	HeldBehind         HeldReason = "behind-another"
 )
 
-// Held is why a job waits, with the number that is short.
+// Held is the reason for which a job waits, with the missing amount.
 type Held struct {
 	Job    domain.JobID `json:"job"`
 	Reason HeldReason   `json:"reason"`
-	// Need and Have are in tasks for blocks, in accelerators for ceilings.
+	// Need and Have are in tasks for blocks and in accelerators for ceilings.
 	Need int `json:"need"`
 	Have int `json:"have"`
-	// StartBy is when a reserved block is expected.
+	// StartBy is when a reserved block is expected to be free.
 	StartBy time.Time `json:"start_by,omitzero"`
 }
 
-// Plan is the decision.
+// Plan holds the decisions of one call of Make.
 type Plan struct {
 	Binding      guarantee.Binding
 	Starts       []Start
