--- a/planner/gang/machine.go
+++ b/planner/gang/machine.go
@@ -7,13 +7,13 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// Phase is where a gang is on its way.
+// Phase is the phase of a gang.
 type Phase string
 
-// The phases, in the order of a gang's life.
+// The phases, in the order in which a gang passes through them.
 const (
 	Reserving Phase = "reserving"
-	// Recording waits for the start to be durable in the log.
+	// Recording waits until the start is durable in the log.
 	Recording     Phase = "recording"
 	Arming        Phase = "arming"
 	Releasing     Phase = "releasing"
@@ -23,23 +23,23 @@
 	Ended         Phase = "ended"
 )
 
-// Cause is why a gang was stopped or has ended; a stable code.
+// Cause is the reason for which a gang was stopped or has ended; a stable code.
 type Cause string
 
 // The causes.
 const (
-	CauseFinished   Cause = "finished"
-	CauseTaskFailed Cause = "task-failed"
-	CauseRefused    Cause = "reserve-refused"
-	CauseStartSlow  Cause = "start-timeout"
-	CauseMemberLost Cause = "member-lost"
-	// CauseWorkerCrashed: a worker has restarted that had begun the gang's work.
-	CauseWorkerCrashed Cause = "worker-crashed"
-	CausePreempted     Cause = "preempted"
-	CauseCancelled     Cause = "cancelled"
-	CauseNotRecorded   Cause = "start-not-recorded"
-	CauseMemory        Cause = "memory-exceeded"
-	CausePartial       Cause = "found-incomplete"
+	CauseFinished       Cause = "finished"
+	CauseTaskFailed     Cause = "task-failed"
+	CauseReserveRefused Cause = "reserve-refused"
+	CauseStartTimeout   Cause = "start-timeout"
+	CauseMemberLost     Cause = "member-lost"
+	// CauseWorkerCrashed: a worker restarted after the gang's work may have started.
+	CauseWorkerCrashed  Cause = "worker-crashed"
+	CausePreempted      Cause = "preempted"
+	CauseCancelled      Cause = "cancelled"
+	CauseNotRecorded    Cause = "start-not-recorded"
+	CauseMemoryExceeded Cause = "memory-exceeded"
+	CauseIncomplete     Cause = "found-incomplete"
 )
 
 type member struct {
@@ -47,47 +47,47 @@
 	tasks  int
 	state  port.TaskState
 	boot   string
-	// surely is the holder's time up to which the lease is certainly valid;
-	// gone the time from which it certainly is not.
-	surely, gone time.Time
-	busy         bool
-	saved        bool
-	// releasable is the holder's time from which no release that was asked for
-	// can take effect any more.
-	releasable time.Time
-	result     string
-	memory     int
+	// validUntil is the planner's time until which the lease is certainly valid; expiredAt
+	// is the time from which it certainly is not.
+	validUntil, expiredAt time.Time
+	pending               bool
+	checkpointed          bool
+	// releaseExpiredAt is the planner's time from which no requested release can take
+	// effect any more.
+	releaseExpiredAt time.Time
+	result           string
+	memoryMiB        int
 }
 
-// Machine is one gang under one lease. Not safe for concurrent use.
+// Machine is the state machine of one gang. It is not safe for concurrent use.
 type Machine struct {
-	Job        domain.Job
-	Class      domain.Class
-	Gang       domain.Incarnation
-	Placement  domain.Placement
-	Guaranteed bool
-	// Began is when the machine was made; Released when all members ran.
-	Began, Released time.Time
-	// Saved is the time of the last complete checkpoint.
-	Saved time.Time
+	Job         domain.Job
+	Class       domain.Class
+	Incarnation domain.Incarnation
+	Placement   domain.Placement
+	Guaranteed  bool
+	// Created is when the machine was created; Released is when all members ran.
+	Created, Released time.Time
+	// LastCheckpoint is the time of the last complete checkpoint.
+	LastCheckpoint time.Time
 
 	timing   Timing
 	phase    Phase
 	cause    Cause
 	members  []*member
 	deadline time.Time
-	// mayRun is set once a release may have reached any worker.
-	mayRun bool
-	// unordered starts members as they come: a broken variant that exists so
-	// that tests can show that they notice.
-	unordered bool
+	// mayHaveRun is set once a release may have reached any worker.
+	mayHaveRun bool
+	// unorderedStart releases members without waiting for the others: a deliberately
+	// broken variant, which shows that the tests detect it.
+	unorderedStart bool
 }
 
-// New returns a machine that will start the job on the placement.
-func New(job domain.Job, class domain.Class, gang domain.Incarnation, p domain.Placement, guaranteed bool, timing Timing, now time.Time) *Machine {
+// New returns a machine that starts the job on the placement.
+func New(job domain.Job, class domain.Class, incarnation domain.Incarnation, p domain.Placement, guaranteed bool, timing Timing, now time.Time) *Machine {
 	m := &Machine{
-		Job: job, Class: class, Gang: gang, Placement: p, Guaranteed: guaranteed, Began: now,
-		timing: timing, phase: Reserving, deadline: now.Add(timing.Start),
+		Job: job, Class: class, Incarnation: incarnation, Placement: p, Guaranteed: guaranteed, Created: now,
+		timing: timing, phase: Reserving, deadline: now.Add(timing.StartTimeout),
 	}
 	for _, a := range p {
 		m.members = append(m.members, &member{worker: a.Worker, tasks: a.Tasks, state: port.TaskAbsent})
@@ -95,20 +95,20 @@
 	return m
 }
 
-// StartMembersUnordered turns the machine into a broken variant that releases
-// each member without waiting for the others. Tests of tests use it.
-func (m *Machine) StartMembersUnordered() { m.unordered = true }
+// StartMembersUnordered makes the machine release each member without waiting for the
+// others. Tests use this broken variant to show that they detect it.
+func (m *Machine) StartMembersUnordered() { m.unorderedStart = true }
 
-// Phase returns where the gang is.
+// Phase returns the current phase.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Cause returns why the gang is stopping or has ended.
+// Cause returns the reason for which the gang is stopping or has ended.
 func (m *Machine) Cause() Cause { return m.cause }
 
-// MayHaveRun tells whether a member may ever have done work.
-func (m *Machine) MayHaveRun() bool { return m.mayRun }
+// MayHaveRun reports whether a member may have done any work.
+func (m *Machine) MayHaveRun() bool { return m.mayHaveRun }
 
-// Result returns the first member's result.
+// Result returns the first non-empty result of a member.
 func (m *Machine) Result() string {
 	for _, mem := range m.members {
 		if mem.result != "" {
@@ -129,14 +129,15 @@
 	return out
 }
 
-// Ask is one command for one worker.
-type Ask struct {
+// Request is one command for one worker.
+type Request struct {
 	Worker  domain.WorkerID
 	Command port.Command
 }
 
-// verbs maps each phase to what it asks of members that are not there yet.
-var verbs = map[Phase]port.Verb{
+// phaseVerbs maps each phase to the verb that is sent to members that have not reached its
+// target state.
+var phaseVerbs = map[Phase]port.Verb{
 	Reserving:     port.VerbReserve,
 	Arming:        port.VerbArm,
 	Releasing:     port.VerbRelease,
@@ -144,77 +145,77 @@
 	Stopping:      port.VerbStop,
 }
 
-// Next returns what to ask now. Each ask is answered by Observe or Unanswered;
-// until then the worker is not asked again.
-func (m *Machine) Next(now time.Time, clocks Clocks) []Ask {
-	m.check(now)
-	verb, asks := verbs[m.phase]
-	if !asks || m.mustWait(now) {
+// Next returns the requests to send now. Each is answered by Observe or HandleUnanswered;
+// until then the worker gets no other one.
+func (m *Machine) Next(now time.Time, clocks Clocks) []Request {
+	m.updatePhase(now)
+	verb, hasVerb := phaseVerbs[m.phase]
+	if !hasVerb || m.mustDelayStop(now) {
 		return nil
 	}
-	var out []Ask
+	var out []Request
 	for _, mem := range m.members {
-		if mem.busy || m.settled(mem) {
+		if mem.pending || m.isSettled(mem) {
 			continue
 		}
-		if ask, ok := m.ask(verb, mem, now, clocks); ok {
-			mem.busy = true
-			out = append(out, ask)
+		if req, ok := m.request(verb, mem, now, clocks); ok {
+			mem.pending = true
+			out = append(out, req)
 		}
 	}
 	return out
 }
 
-func (m *Machine) ask(verb port.Verb, mem *member, now time.Time, clocks Clocks) (Ask, bool) {
+func (m *Machine) request(verb port.Verb, mem *member, now time.Time, clocks Clocks) (Request, bool) {
 	reading, ok := clocks.Reading(mem.worker)
 	if !ok {
-		return Ask{}, false
+		return Request{}, false
 	}
-	until := reading.Until(m.timing.Lease)
-	command := port.Command{Verb: verb, Gang: m.Gang, Members: len(m.members), Boot: mem.boot}
+	until := reading.LeaseEnd(m.timing.Lease)
+	command := port.Command{Verb: verb, Gang: m.Incarnation, Members: len(m.members), Boot: mem.boot}
 	switch verb {
 	case port.VerbReserve:
 		mem.boot = reading.Boot
 		command.Boot = reading.Boot
 		command.Tasks = mem.tasks
 		command.PerTask = m.Job.Shape.PerTask
-		mem.gone = later(mem.gone, reading.Gone(until, m.timing))
+		mem.expiredAt = laterTime(mem.expiredAt, reading.ExpiredAt(until, m.timing))
 	case port.VerbArm:
 		command.Payload = m.Job.Payload
 	case port.VerbRelease:
-		m.mayRun = true
-		if !m.unordered {
-			until = reading.At(m.releaseEnd(now), m.timing)
+		m.mayHaveRun = true
+		if !m.unorderedStart {
+			until = reading.ClockAt(m.releaseEnd(now), m.timing)
 		}
-		mem.releasable = later(mem.releasable, reading.Gone(until, m.timing))
+		mem.releaseExpiredAt = laterTime(mem.releaseExpiredAt, reading.ExpiredAt(until, m.timing))
 	}
 	command.Until = domain.Duration(until)
-	return Ask{Worker: mem.worker, Command: command}, true
+	return Request{Worker: mem.worker, Command: command}, true
 }
 
-// WantsRenewal tells whether a member's lease is to be renewed. While any other
-// member has not been heard of for half a lease, the healthy ones are not
-// renewed: after a death the rest of a gang goes on for one and a half leases
-// at most, even if its planner dies too.
-func (m *Machine) WantsRenewal(worker domain.WorkerID, now time.Time) bool {
+// NeedsRenewal reports whether a member's lease is to be renewed. If any member has not
+// answered for half a lease, the leases of the other ones are not renewed: after a worker
+// has failed, the rest of its gang continues for at most one and a half leases, even if
+// the planner fails too.
+func (m *Machine) NeedsRenewal(worker domain.WorkerID, now time.Time) bool {
 	if m.phase == Stopping || m.phase == Ended {
 		return false
 	}
-	fresh := true
+	allAnswered := true
 	for _, mem := range m.members {
 		switch {
 		case mem.state == port.TaskFinished:
 		case mem.state == port.TaskAbsent && m.phase == Reserving:
-		case !mem.state.Live() || now.After(mem.surely):
+		case !mem.state.Live() || now.After(mem.validUntil):
 			return false
-		case now.Add(m.timing.Lease / 2).After(mem.surely):
-			fresh = false
+		case now.Add(m.timing.Lease / 2).After(mem.validUntil):
+			allAnswered = false
 			if mem.worker == worker {
 				return true
 			}
 		}
 	}
-	return fresh
+	return allAnswered
 }
 
 func (m *Machine) member(worker domain.WorkerID) *member {
@@ -226,7 +227,7 @@
 	return nil
 }
 
-// Workers returns the members' workers with the boots that they were seen in.
+// Workers returns the workers of the members.
 func (m *Machine) Workers() []domain.WorkerID {
 	out := make([]domain.WorkerID, len(m.members))
 	for i, mem := range m.members {
--- a/planner/gang/machine_test.go
+++ b/planner/gang/machine_test.go
@@ -15,9 +15,9 @@
 	return r, ok
 }
 
-// A renewal that overtakes the reserve on the way extends nothing, although it
-// is answered without a refusal. Found by 10,746 random worlds (seed 78004833):
-// a member was released after another's lease had ended.
+// Guards against a renewal that overtakes the reserve and is counted as an extension of
+// the lease, although it found no member to extend: a member was then released after
+// another's lease had ended. Found by 10,746 random worlds (seed 78004833).
 func TestRenewalThatFoundNoMemberExtendsNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	timing := DefaultTiming()
@@ -29,16 +29,16 @@
 	reserve := m.Next(now, fixedClocks{"w": reading})[0].Command
 	live := port.Report{Boot: "b", Members: []port.Member{{Gang: gang, State: port.TaskReserved}}}
 	m.Observe("w", reserve, live, reading)
-	before := m.allSurely()
+	before := m.leasesValidUntil()
 
 	later := Reading{Boot: "b", Clock: 2 * time.Minute, Sent: now.Add(time.Minute), Received: now.Add(time.Minute)}
-	renew := port.Command{Verb: port.VerbRenew, Gangs: []domain.Incarnation{gang}, Until: domain.Duration(later.Until(timing.Lease))}
+	renew := port.Command{Verb: port.VerbRenew, Gangs: []domain.Incarnation{gang}, Until: domain.Duration(later.LeaseEnd(timing.Lease))}
 	m.Observe("w", renew, port.Report{Boot: "b"}, later)
-	if got := m.allSurely(); !got.Equal(before) {
-		t.Errorf("the lease counts as held for %v longer than it is", got.Sub(before))
+	if got := m.leasesValidUntil(); !got.Equal(before) {
+		t.Errorf("the lease counts as valid for %v longer than it is", got.Sub(before))
 	}
 	m.Observe("w", renew, live, later)
-	if got := m.allSurely(); !got.After(before) {
+	if got := m.leasesValidUntil(); !got.After(before) {
 		t.Error("a renewal that found the member did not extend its lease")
 	}
 }
--- a/planner/gang/observe.go
+++ b/planner/gang/observe.go
@@ -7,65 +7,65 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// RenewalSent notes that a renewal up to until may reach the worker.
-func (m *Machine) RenewalSent(worker domain.WorkerID, reading Reading, until time.Duration) {
+// RenewalSent records that a renewal up to leaseEnd may reach the worker.
+func (m *Machine) RenewalSent(worker domain.WorkerID, reading Reading, leaseEnd time.Duration) {
 	if mem := m.member(worker); mem != nil {
-		mem.gone = later(mem.gone, reading.Gone(until, m.timing))
+		mem.expiredAt = laterTime(mem.expiredAt, reading.ExpiredAt(leaseEnd, m.timing))
 	}
 }
 
-// Unanswered says that an ask had no answer; whether it took effect is not
-// known, and it is asked again, which is safe.
-func (m *Machine) Unanswered(worker domain.WorkerID) {
+// HandleUnanswered records that a request was not answered. Whether it took effect is not
+// known; it is sent again, which is safe.
+func (m *Machine) HandleUnanswered(worker domain.WorkerID) {
 	if mem := m.member(worker); mem != nil {
-		mem.busy = false
+		mem.pending = false
 	}
 }
 
-// Observe takes in a worker's report. command is what it answers; granted is
-// the reading that the command's lease was computed from.
+// Observe processes a worker's report. command is the command that it answers; granted is
+// the reading from which the command's lease was computed.
 func (m *Machine) Observe(worker domain.WorkerID, command port.Command, report port.Report, granted Reading) {
 	mem := m.member(worker)
 	if mem == nil {
 		return
 	}
-	own := command.Verb != port.VerbRenew && command.Verb != port.VerbClaim && command.Gang == m.Gang
+	own := command.Verb != port.VerbRenew && command.Verb != port.VerbClaim && command.Gang == m.Incarnation
 	if own {
-		mem.busy = false
+		mem.pending = false
 	}
 	m.observeState(mem, report)
 	if report.Refused != "" {
 		m.observeRefusal(mem, own, command)
 		return
 	}
-	// A renewal that overtook the reserve found nothing to extend; only a
-	// report that shows the member says that its lease was.
-	if extends(command, m.Gang) && m.liveIn(report) {
-		mem.surely = later(mem.surely, granted.Surely(command.Until.Std(), m.timing))
+	// A renewal that overtook the reserve found no lease to extend. Only a report that
+	// contains the member shows that its lease was extended.
+	if extendsLease(command, m.Incarnation) && m.isLiveIn(report) {
+		mem.validUntil = laterTime(mem.validUntil, granted.ValidUntil(command.Until.Std(), m.timing))
 	}
 	if own && command.Verb == port.VerbCheckpoint {
-		mem.saved = true
+		mem.checkpointed = true
 	}
 }
 
-func extends(c port.Command, gang domain.Incarnation) bool {
+func extendsLease(c port.Command, incarnation domain.Incarnation) bool {
 	if c.Verb == port.VerbReserve {
-		return c.Gang == gang
+		return c.Gang == incarnation
 	}
 	if c.Verb != port.VerbRenew {
 		return false
 	}
 	for _, g := range c.Gangs {
-		if g == gang {
+		if g == incarnation {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Machine) liveIn(report port.Report) bool {
+func (m *Machine) isLiveIn(report port.Report) bool {
 	for _, reported := range report.Members {
-		if reported.Gang == m.Gang {
+		if reported.Gang == m.Incarnation {
 			return reported.State.Live()
 		}
 	}
@@ -75,9 +75,9 @@
 func (m *Machine) observeState(mem *member, report port.Report) {
 	if mem.boot != "" && report.Boot != mem.boot {
 		mem.state = port.TaskAbsent
-		mem.gone = time.Time{}
+		mem.expiredAt = time.Time{}
 		switch {
-		case m.mayRun:
+		case m.mayHaveRun:
 			m.stop(CauseWorkerCrashed)
 		case m.phase != Reserving:
 			m.stop(CauseMemberLost)
@@ -85,27 +85,26 @@
 		return
 	}
 	for _, reported := range report.Members {
-		if reported.Gang != m.Gang {
+		if reported.Gang != m.Incarnation {
 			continue
 		}
-		mem.state = advance(mem.state, reported.State)
+		mem.state = laterState(mem.state, reported.State)
 		if reported.Result != "" {
 			mem.result = reported.Result
 		}
-		mem.memory = reported.UsedMemoryMiB
+		mem.memoryMiB = reported.UsedMemoryMiB
 		return
 	}
 }
 
-// rank orders a member's states; a report that was delayed never takes a
-// member back.
-var rank = map[port.TaskState]int{
+// stateRank orders a member's states; a delayed report never moves a member back.
+var stateRank = map[port.TaskState]int{
 	port.TaskAbsent: 0, port.TaskReserved: 1, port.TaskArmed: 2, port.TaskRunning: 3,
 	port.TaskFinished: 4, port.TaskFailed: 4, port.TaskStopped: 4,
 }
 
-func advance(from, to port.TaskState) port.TaskState {
-	if rank[to] > rank[from] {
+func laterState(from, to port.TaskState) port.TaskState {
+	if stateRank[to] > stateRank[from] {
 		return to
 	}
 	return from
@@ -117,21 +116,21 @@
 	}
 	switch command.Verb {
 	case port.VerbReserve:
-		m.stop(CauseRefused)
+		m.stop(CauseReserveRefused)
 	case port.VerbArm, port.VerbRelease:
 		m.stop(CauseMemberLost)
 	case port.VerbCheckpoint:
-		mem.saved = true // nothing runs there that could be saved
+		mem.checkpointed = true // no task runs there that could be checkpointed
 	case port.VerbStop:
 		mem.state = port.TaskStopped
 	}
 }
 
-// OverMemory returns the highest measured memory of a task, in MiB.
-func (m *Machine) OverMemory() int {
-	most := 0
+// PeakMemoryMiB returns the highest measured memory of a task, in MiB.
+func (m *Machine) PeakMemoryMiB() int {
+	peak := 0
 	for _, mem := range m.members {
-		most = max(most, mem.memory)
+		peak = max(peak, mem.memoryMiB)
 	}
-	return most
+	return peak
 }
--- a/planner/gang/phases.go
+++ b/planner/gang/phases.go
@@ -6,38 +6,38 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-func later(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-// allSurely is the time up to which every member's lease certainly holds. A
-// release is valid only up to then, on the worker's own clock, so that no
-// member runs after another may have lapsed unseen.
-func (m *Machine) allSurely() time.Time {
-	end := m.members[0].surely
+// leasesValidUntil returns the time until which every member's lease is certainly valid. A
+// release is valid only until then, on the worker's own clock, so that no member runs
+// after the lease of another may have ended unnoticed.
+func (m *Machine) leasesValidUntil() time.Time {
+	end := m.members[0].validUntil
 	for _, mem := range m.members[1:] {
-		if mem.surely.Before(end) {
-			end = mem.surely
+		if mem.validUntil.Before(end) {
+			end = mem.validUntil
 		}
 	}
 	return end
 }
 
-// releaseEnd is the end of a release's validity. It is short, so that a gang
-// that is stopped while it is being released need not wait long.
+// releaseEnd returns the end of a release's validity. It is short, so that a gang that is
+// stopped while it is being released does not have to wait long.
 func (m *Machine) releaseEnd(now time.Time) time.Time {
-	end := now.Add(m.timing.Release)
-	if surely := m.allSurely(); surely.Before(end) {
-		return surely
+	end := now.Add(m.timing.ReleaseValidity)
+	if validUntil := m.leasesValidUntil(); validUntil.Before(end) {
+		return validUntil
 	}
 	return end
 }
 
-// settled tells whether the member is where the phase wants it.
-func (m *Machine) settled(mem *member) bool {
+// isSettled reports whether the member has reached the target state of the phase.
+func (m *Machine) isSettled(mem *member) bool {
 	switch m.phase {
 	case Reserving:
 		return mem.state != port.TaskAbsent
@@ -46,52 +46,52 @@
 	case Releasing:
 		return mem.state != port.TaskArmed
 	case Checkpointing:
-		return mem.saved
+		return mem.checkpointed
 	case Stopping:
 		// A reserve may have taken effect although its answer was lost.
-		asked := mem.state == port.TaskAbsent && mem.boot != "" && !mem.gone.IsZero()
-		return !mem.state.Live() && !asked
+		unconfirmed := mem.state == port.TaskAbsent && mem.boot != "" && !mem.expiredAt.IsZero()
+		return !mem.state.Live() && !unconfirmed
 	}
 	return true
 }
 
-// mustWait holds all stops back while any release may still take effect: a
-// member that runs then does so beside all the others.
-func (m *Machine) mustWait(now time.Time) bool {
-	return m.phase == Stopping && m.any(func(mem *member) bool {
-		return mem.state == port.TaskArmed && now.Before(mem.releasable)
+// mustDelayStop reports whether stops must wait because a release may still take effect: a
+// member that is released after others were stopped would run without them.
+func (m *Machine) mustDelayStop(now time.Time) bool {
+	return m.phase == Stopping && m.anyMember(func(mem *member) bool {
+		return mem.state == port.TaskArmed && now.Before(mem.releaseExpiredAt)
 	})
 }
 
-// check moves on by what is known: time, and the members' states.
-func (m *Machine) check(now time.Time) {
+// updatePhase moves to the next phase if the time and the members' states allow it.
+func (m *Machine) updatePhase(now time.Time) {
 	switch m.phase {
 	case Reserving, Arming, Releasing:
-		m.checkStart(now)
+		m.updateStart(now)
 	case Recording:
-		m.checkHeld(now)
+		m.checkLeases(now)
 	case Running:
-		m.checkRunning(now)
+		m.updateRunning(now)
 	case Checkpointing:
-		if now.After(m.deadline) || m.all(func(mem *member) bool { return mem.saved }) {
+		if now.After(m.deadline) || m.allMembers(func(mem *member) bool { return mem.checkpointed }) {
 			m.phase = Stopping
 		}
 	}
 	if m.phase == Stopping {
-		m.checkStopped(now)
+		m.updateStopped(now)
 	}
 }
 
-func (m *Machine) checkStart(now time.Time) {
+func (m *Machine) updateStart(now time.Time) {
 	if now.After(m.deadline) {
-		m.stop(CauseStartSlow)
+		m.stop(CauseStartTimeout)
 		return
 	}
-	if m.phase != Reserving && !m.unordered && !m.checkHeld(now) {
+	if m.phase != Reserving && !m.unorderedStart && !m.checkLeases(now) {
 		return
 	}
-	early := m.unordered && m.phase != Releasing && m.any(m.settled)
-	if !m.all(m.settled) && !early {
+	early := m.unorderedStart && m.phase != Releasing && m.anyMember(m.isSettled)
+	if !m.allMembers(m.isSettled) && !early {
 		return
 	}
 	switch m.phase {
@@ -102,22 +102,22 @@
 	case Releasing:
 		m.phase = Running
 		m.Released = now
-		m.Saved = now
+		m.LastCheckpoint = now
 	}
 }
 
-// checkHeld stops the gang when the holder can't be sure of every lease: it
-// was paused, or a worker went silent.
-func (m *Machine) checkHeld(now time.Time) bool {
-	if now.Add(m.timing.Margin).After(m.allSurely()) {
+// checkLeases stops the gang if the planner can't be sure that every lease is valid,
+// because it was paused or a worker became silent.
+func (m *Machine) checkLeases(now time.Time) bool {
+	if now.Add(m.timing.Margin).After(m.leasesValidUntil()) {
 		m.stop(CauseMemberLost)
 		return false
 	}
 	return true
 }
 
-func (m *Machine) checkRunning(now time.Time) {
-	if m.all(func(mem *member) bool { return mem.state == port.TaskFinished }) {
+func (m *Machine) updateRunning(now time.Time) {
+	if m.allMembers(func(mem *member) bool { return mem.state == port.TaskFinished }) {
 		m.phase = Ended
 		m.cause = CauseFinished
 		return
@@ -128,22 +128,22 @@
 			m.stop(CauseTaskFailed)
 		case mem.state == port.TaskStopped, mem.state == port.TaskAbsent:
 			m.stop(CauseMemberLost)
-		case mem.state == port.TaskRunning && now.After(mem.surely):
+		case mem.state == port.TaskRunning && now.After(mem.validUntil):
 			m.stop(CauseMemberLost)
 		}
 	}
 }
 
-func (m *Machine) checkStopped(now time.Time) {
-	ended := m.all(func(mem *member) bool {
-		return !mem.state.Live() && !(mem.state == port.TaskAbsent && now.Before(mem.gone)) || now.After(mem.gone)
+func (m *Machine) updateStopped(now time.Time) {
+	ended := m.allMembers(func(mem *member) bool {
+		return !mem.state.Live() && !(mem.state == port.TaskAbsent && now.Before(mem.expiredAt)) || now.After(mem.expiredAt)
 	})
 	if ended {
 		m.phase = Ended
 	}
 }
 
-func (m *Machine) all(test func(*member) bool) bool {
+func (m *Machine) allMembers(test func(*member) bool) bool {
 	for _, mem := range m.members {
 		if !test(mem) {
 			return false
@@ -152,8 +152,8 @@
 	return true
 }
 
-func (m *Machine) any(test func(*member) bool) bool {
-	return !m.all(func(mem *member) bool { return !test(mem) })
+func (m *Machine) anyMember(test func(*member) bool) bool {
+	return !m.allMembers(func(mem *member) bool { return !test(mem) })
 }
 
 func (m *Machine) stop(cause Cause) {
@@ -166,8 +166,9 @@
 	m.phase = Stopping
 }
 
-// Recorded says whether the start is durable. Only then is anything armed.
-func (m *Machine) Recorded(ok bool) {
+// SetRecorded processes the outcome of recording the start; ok means that it is durable.
+// Members are armed only after that.
+func (m *Machine) SetRecorded(ok bool) {
 	if m.phase != Recording {
 		return
 	}
@@ -181,7 +182,8 @@
 // Cancel stops the gang at once.
 func (m *Machine) Cancel(cause Cause) { m.stop(cause) }
 
-// Preempt checkpoints the gang within the grace, then stops it.
+// Preempt checkpoints the gang within the grace period, then stops it. A gang that is not
+// running or not checkpointable is stopped at once.
 func (m *Machine) Preempt(now time.Time, grace time.Duration) {
 	if m.phase != Running || !m.Class.Checkpointable {
 		m.stop(CausePreempted)
@@ -191,6 +193,6 @@
 	m.phase = Checkpointing
 	m.deadline = now.Add(grace)
 	for _, mem := range m.members {
-		mem.saved = false
+		mem.checkpointed = false
 	}
 }
--- a/planner/gangs.go
+++ b/planner/gangs.go
@@ -12,19 +12,19 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// adopt takes over what the claims have found.
+// adopt starts the takeover from the members that the claims have reported.
 func (c *Core) adopt(in Inputs) {
 	c.adopted = true
 	c.binding = in.Binding
-	c.found = c.foundGangs()
+	c.foundMembers = c.groupFound()
 }
 
-// takeOver takes the found gangs of jobs that are known. The newest attempt of a
-// job that has not ended goes on if it is whole; all others are stopped. A gang
-// whose job has not been read yet is left as it is: workers forget what is
-// stopped, and its result would be lost.
+// takeOver takes over the reported gangs whose jobs have been read. The newest attempt of
+// a job that has not ended continues if it is complete; all others are stopped. A gang
+// whose job has not been read yet is left alone: workers forget what is stopped, and its
+// result would be lost.
 func (c *Core) takeOver(in Inputs) {
-	if len(c.found) == 0 {
+	if len(c.foundMembers) == 0 {
 		return
 	}
 	jobs := map[domain.JobID]state.Status{}
@@ -32,48 +32,48 @@
 		jobs[status.Job.ID] = status
 	}
 	newest := map[domain.JobID]domain.Incarnation{}
-	for id := range c.found {
+	for id := range c.foundMembers {
 		if old, ok := newest[id.Job]; !ok || id.Newer(old) {
 			newest[id.Job] = id
 		}
 	}
-	for _, id := range sortedGangs(c.found) {
+	for _, id := range sortedGangs(c.foundMembers) {
 		status, active := jobs[id.Job]
-		if !active && !in.Ended(id.Job) {
+		if !active && !in.HasEnded(id.Job) {
 			continue
 		}
-		c.takeGang(id, status, in, active && newest[id.Job] == id && !status.Gang.Newer(id))
-		delete(c.found, id)
+		c.takeOverGang(id, status, in, active && newest[id.Job] == id && !status.Gang.Newer(id))
+		delete(c.foundMembers, id)
 	}
 }
 
-func (c *Core) takeGang(id domain.Incarnation, status state.Status, in Inputs, goesOn bool) {
+func (c *Core) takeOverGang(id domain.Incarnation, status state.Status, in Inputs, resume bool) {
 	local := c.localOf(id.Job)
 	local.attempt = max(local.attempt, id.Attempt)
 	class := in.Classes[status.Job.Class]
-	m := gang.Adopt(status.Job, class, id, c.found[id], status.Guaranteed, c.options.Timing, in.Now)
-	if goesOn {
+	m := gang.Adopt(status.Job, class, id, c.foundMembers[id], status.Guaranteed, c.options.Timing, in.Now)
+	if resume {
 		c.machines[id.Job] = m
 		return
 	}
-	m.Cancel(gang.CausePartial)
+	m.Cancel(gang.CauseIncomplete)
 	c.orphans[id] = m
 }
 
-func (c *Core) foundGangs() map[domain.Incarnation][]gang.Found {
-	out := map[domain.Incarnation][]gang.Found{}
-	for _, spec := range c.order {
+func (c *Core) groupFound() map[domain.Incarnation][]gang.FoundMember {
+	out := map[domain.Incarnation][]gang.FoundMember{}
+	for _, spec := range c.listed {
 		w := c.workers[spec.ID]
-		for _, member := range w.found {
-			out[member.Gang] = append(out[member.Gang], gang.Found{Worker: spec.ID, Member: member, Reading: w.reading})
+		for _, member := range w.foundMembers {
+			out[member.Gang] = append(out[member.Gang], gang.FoundMember{Worker: spec.ID, Member: member, Reading: w.reading})
 		}
-		w.found = nil
+		w.foundMembers = nil
 	}
 	return out
 }
 
-// cancelRequested ends jobs whose callers asked for it.
-func (c *Core) cancelRequested(in Inputs) {
+// cancelJobs ends the jobs whose callers have requested it.
+func (c *Core) cancelJobs(in Inputs) {
 	for _, status := range in.Jobs {
 		if !status.CancelRequested || c.localOf(status.Job.ID).ended {
 			continue
@@ -86,24 +86,24 @@
 	}
 }
 
-// end notes a job's final state.
+// end records a job's final state.
 func (c *Core) end(id domain.JobID, final domain.JobState, cause, result string, now time.Time) {
 	c.localOf(id).ended = true
-	c.dirty = true
+	c.planNeeded = true
 	c.emit("ended/"+string(id), state.KindEnded, state.Ended{Job: id, State: final, Cause: cause, Result: result, At: now})
 }
 
-// advance moves every gang on and deals with those that have ended.
-func (c *Core) advance(in Inputs) {
-	mayStart := c.mayStart(in.Now)
+// advanceGangs advances every gang and concludes those that have ended.
+func (c *Core) advanceGangs(in Inputs) {
+	canStart := c.canStart(in.Now)
 	for _, id := range sortedJobs(c.machines) {
 		m := c.machines[id]
 		c.stopIfOverMemory(m)
-		if starting(m.Phase()) && !mayStart {
+		if isStarting(m.Phase()) && !canStart {
 			continue
 		}
 		before := m.Phase()
-		c.ask(m, in.Now)
+		c.sendRequests(m, in.Now)
 		if m.Phase() == gang.Recording && before != gang.Recording {
 			c.emitStarted(m, in.Now)
 		}
@@ -113,16 +113,15 @@
 	}
 	for _, id := range sortedGangs(c.orphans) {
 		m := c.orphans[id]
-		c.ask(m, in.Now)
+		c.sendRequests(m, in.Now)
 		if m.Phase() == gang.Ended {
 			delete(c.orphans, id)
-			c.close(m, false)
+			c.startClosing(m, false)
 		}
 	}
 }
 
-// sortedGangs gives the keys in a fixed order, so that a planner does the same
-// on the same inputs.
+// sortedGangs returns the keys in a fixed order, so that a planner is deterministic.
 func sortedGangs[V any](gangs map[domain.Incarnation]V) []domain.Incarnation {
 	ids := slices.Collect(maps.Keys(gangs))
 	slices.SortFunc(ids, func(a, b domain.Incarnation) int {
@@ -135,31 +134,30 @@
 	return slices.Sorted(maps.Keys(machines))
 }
 
-// starting tells whether the phase is one that only an authorised planner may
-// move on from.
-func starting(p gang.Phase) bool {
+// isStarting reports whether the phase may be left only by a planner that may start gangs.
+func isStarting(p gang.Phase) bool {
 	return p == gang.Reserving || p == gang.Arming || p == gang.Releasing
 }
 
-func (c *Core) ask(m *gang.Machine, now time.Time) {
-	for _, ask := range m.Next(now, c) {
-		w := c.workers[ask.Worker]
-		ask.Command.Token = c.Token
-		c.out.Calls = append(c.out.Calls, Call{Worker: w.spec, Command: ask.Command, Granted: w.reading})
+func (c *Core) sendRequests(m *gang.Machine, now time.Time) {
+	for _, req := range m.Next(now, c) {
+		w := c.workers[req.Worker]
+		req.Command.Token = c.Token
+		c.out.Calls = append(c.out.Calls, Call{Worker: w.spec, Command: req.Command, Granted: w.reading})
 	}
 }
 
-// emitStarted records the attempt. A class that must not run twice waits for
-// the record; the others go on at once, and the record follows.
+// emitStarted records the attempt. A gang of a class that must not run twice waits for the
+// record; the others continue at once, and the record follows.
 func (c *Core) emitStarted(m *gang.Machine, now time.Time) {
-	started := state.Started{Gang: m.Gang, Placement: m.Placement, Guaranteed: m.Guaranteed, At: now}
-	emission := Emission{ID: recordID("started", m.Gang), Kind: state.KindStarted, Payload: started}
+	started := state.Started{Gang: m.Incarnation, Placement: m.Placement, Guaranteed: m.Guaranteed, At: now}
+	emission := Emission{ID: recordID("started", m.Incarnation), Kind: state.KindStarted, Payload: started}
 	if m.Class.Idempotent {
 		c.out.Emissions = append(c.out.Emissions, emission)
-		m.Recorded(true)
+		m.SetRecorded(true)
 		return
 	}
-	await := m.Gang
+	await := m.Incarnation
 	emission.Await = &await
 	c.out.Emissions = append(c.out.Emissions, emission)
 }
@@ -169,55 +167,55 @@
 	if declared == 0 || m.Phase() != gang.Running {
 		return
 	}
-	if allowed := declared + declared*c.options.MemoryAllowancePercent/100; m.OverMemory() > allowed {
-		m.Cancel(gang.CauseMemory)
+	if allowed := declared + declared*c.options.MemoryAllowancePercent/100; m.PeakMemoryMiB() > allowed {
+		m.Cancel(gang.CauseMemoryExceeded)
 	}
 }
 
-// conclude decides what becomes of the job whose gang has ended.
+// conclude decides whether the job of an ended gang ends or is requeued.
 func (c *Core) conclude(m *gang.Machine, in Inputs) {
 	id := m.Job.ID
 	delete(c.machines, id)
-	c.localOf(id).concluded = m.Gang
-	c.dirty = true
-	c.noteHealth(m, in.Now)
-	final, again := c.outcome(m, in)
-	c.close(m, !again)
-	if !again {
+	c.localOf(id).lastConcluded = m.Incarnation
+	c.planNeeded = true
+	c.recordOutcome(m, in.Now)
+	final, retry := c.outcome(m, in)
+	c.startClosing(m, !retry)
+	if !retry {
 		if m.Cause() == gang.CauseTaskFailed && m.Class.Idempotent {
-			// It failed wherever it was tried: the job is at fault.
-			c.book.Forgive(id)
+			// It failed on every worker that it was tried on, so the job is at fault.
+			c.quarantine.ClearJob(id)
 		}
 		c.end(id, final, string(m.Cause()), m.Result(), in.Now)
 		return
 	}
 	c.localOf(id).notBefore = in.Now.Add(c.pauseAfter(m.Cause()))
-	c.emit(recordID("requeued", m.Gang), state.KindRequeued,
-		state.Requeued{Gang: m.Gang, Cause: string(m.Cause()), FailedOn: m.FailedOn(), Crashed: m.Cause() == gang.CauseWorkerCrashed})
+	c.emit(recordID("requeued", m.Incarnation), state.KindRequeued,
+		state.Requeued{Gang: m.Incarnation, Cause: string(m.Cause()), FailedOn: m.FailedOn(), Crashed: m.Cause() == gang.CauseWorkerCrashed})
 }
 
-// restartPause keeps a gang that could not start from trying at once again.
-const restartPause = 500 * time.Millisecond
+// startRetryPause is the pause before a gang that could not start is tried again.
+const startRetryPause = 500 * time.Millisecond
 
 func (c *Core) pauseAfter(cause gang.Cause) time.Duration {
 	if cause == gang.CausePreempted {
 		return 0
 	}
-	return restartPause
+	return startRetryPause
 }
 
-func (c *Core) outcome(m *gang.Machine, in Inputs) (final domain.JobState, again bool) {
+func (c *Core) outcome(m *gang.Machine, in Inputs) (final domain.JobState, retry bool) {
 	switch m.Cause() {
 	case gang.CauseFinished:
 		return domain.JobCompleted, false
 	case gang.CauseCancelled:
 		return domain.JobCancelled, false
-	case gang.CauseMemory:
+	case gang.CauseMemoryExceeded:
 		return domain.JobFailed, false
 	case gang.CauseTaskFailed:
 		return domain.JobFailed, m.Class.Idempotent && c.statusOf(m, in).Failures+1 < c.options.MaxFailures
 	case gang.CauseWorkerCrashed:
-		if m.Class.Idempotent && c.crashesTooOften(m, c.statusOf(m, in).Crashes, in.Now) {
+		if m.Class.Idempotent && c.exceedsCrashLimit(m, c.statusOf(m, in).Crashes, in.Now) {
 			return domain.JobFailed, false
 		}
 	}
@@ -227,7 +225,8 @@
 	return domain.JobUnknown, false
 }
 
-// statusOf is what the log has of a gang's job; the zero status where it has nothing.
+// statusOf returns the status of a gang's job from the log, or the zero status if the log
+// has none.
 func (c *Core) statusOf(m *gang.Machine, in Inputs) state.Status {
 	for _, status := range in.Jobs {
 		if status.Job.ID == m.Job.ID {
@@ -237,32 +236,33 @@
 	return state.Status{}
 }
 
-// noteHealth learns from how a gang ended: run times, and workers that fail.
-func (c *Core) noteHealth(m *gang.Machine, now time.Time) {
+// recordOutcome records a gang's run time for estimates, and its success or failure for
+// quarantine.
+func (c *Core) recordOutcome(m *gang.Machine, now time.Time) {
 	switch m.Cause() {
 	case gang.CauseFinished:
 		c.estimates.Learn(m.Job, now.Sub(m.Released))
 		for _, worker := range m.Workers() {
-			c.book.Succeeded(worker)
+			c.quarantine.RecordSuccess(worker)
 		}
 	case gang.CauseTaskFailed:
 		for _, worker := range m.FailedOn() {
-			c.book.Failed(worker, m.Job.ID, now)
+			c.quarantine.RecordFailure(worker, m.Job.ID, now)
 		}
 	}
 }
 
-// close has the workers forget a gang, after its job's end is in the log when
-// the gang was its last.
-func (c *Core) close(m *gang.Machine, final bool) {
-	closing := &closing{workers: map[domain.WorkerID]bool{}, asked: map[domain.WorkerID]bool{}, job: m.Job.ID, final: final}
+// startClosing schedules that the workers forget a gang. If the gang was its job's last,
+// they do so only after the job's end is in the log.
+func (c *Core) startClosing(m *gang.Machine, endsJob bool) {
+	closing := &closingGang{workers: map[domain.WorkerID]bool{}, pending: map[domain.WorkerID]bool{}, job: m.Job.ID, endsJob: endsJob}
 	for _, worker := range m.Workers() {
 		closing.workers[worker] = true
 	}
-	c.closing[m.Gang] = closing
+	c.closing[m.Incarnation] = closing
 }
 
-func (c *Core) forget(in Inputs) {
+func (c *Core) forgetClosing(in Inputs) {
 	if len(c.closing) == 0 {
 		return
 	}
@@ -272,53 +272,53 @@
 	}
 	for _, id := range sortedGangs(c.closing) {
 		closing := c.closing[id]
-		if closing.final && active[closing.job] {
+		if closing.endsJob && active[closing.job] {
 			continue // its end is not in the log yet
 		}
 		for _, worker := range slices.Sorted(maps.Keys(closing.workers)) {
-			c.askToForget(id, worker, closing)
+			c.requestForget(id, worker, closing)
 		}
 		if len(closing.workers) == 0 {
 			delete(c.closing, id)
 		}
 	}
-	for id, local := range c.local {
+	for id, local := range c.localStates {
 		if local.ended && !active[id] {
-			delete(c.local, id)
+			delete(c.localStates, id)
 		}
 	}
 }
 
-func (c *Core) askToForget(id domain.Incarnation, worker domain.WorkerID, closing *closing) {
+func (c *Core) requestForget(id domain.Incarnation, worker domain.WorkerID, closing *closingGang) {
 	w, ok := c.workers[worker]
 	if !ok || !w.listed || !w.claimed {
 		delete(closing.workers, worker)
 		return
 	}
-	if closing.asked[worker] {
+	if closing.pending[worker] {
 		return
 	}
-	closing.asked[worker] = true
+	closing.pending[worker] = true
 	c.call(w, port.Command{
 		Verb: port.VerbForget, Gang: id, Boot: w.reading.Boot,
-		Until: domain.Duration(w.reading.Until(c.options.Timing.Lease)),
+		Until: domain.Duration(w.reading.LeaseEnd(c.options.Timing.Lease)),
 	})
 }
 
-func (c *Core) forgotten(id domain.Incarnation, worker domain.WorkerID, report port.Report) {
+func (c *Core) handleForgotten(id domain.Incarnation, worker domain.WorkerID, report port.Report) {
 	closing, ok := c.closing[id]
 	if !ok {
 		return
 	}
-	delete(closing.asked, worker)
+	delete(closing.pending, worker)
 	if report.Refused == "" || report.Boot != "" {
 		delete(closing.workers, worker)
 	}
 }
 
-// stoppingOrphan tells whether an older attempt of the job, found when this
-// planner took over, still has to stop. Until then nothing of the job starts.
-func (c *Core) stoppingOrphan(job domain.JobID) bool {
+// hasOrphan reports whether an older attempt of the job, found at the takeover, has not
+// stopped yet. Until then the job is not started.
+func (c *Core) hasOrphan(job domain.JobID) bool {
 	for id := range c.orphans {
 		if id.Job == job {
 			return true
@@ -327,23 +327,23 @@
 	return false
 }
 
-// recoverLost deals with attempts that the log shows as under way, but of which
-// no gang is left: an earlier planner started them. Everything that could still
-// run has been taken over or has ended before (see Core).
+// recoverLost concludes attempts that are running according to the log but of which no
+// gang is left: an earlier planner started them. Whatever could still run has been taken
+// over or has ended by then (see Core).
 func (c *Core) recoverLost(in Inputs) {
 	for _, status := range in.Jobs {
 		id := status.Job.ID
 		local := c.localOf(id)
-		if local.ended || c.machines[id] != nil || c.stoppingOrphan(id) {
+		if local.ended || c.machines[id] != nil || c.hasOrphan(id) {
 			continue
 		}
-		lost := status.State == domain.JobRunning && status.Gang.Newer(local.concluded)
+		lost := status.State == domain.JobRunning && status.Gang.Newer(local.lastConcluded)
 		idempotent := in.Classes[status.Job.Class].Idempotent
 		switch {
 		case !idempotent && (lost || status.Contended):
 			c.end(id, domain.JobUnknown, string(gang.CauseMemberLost), "", in.Now)
 		case lost:
-			local.concluded = status.Gang
+			local.lastConcluded = status.Gang
 			local.attempt = max(local.attempt, status.Gang.Attempt)
 			c.emit(recordID("requeued", status.Gang), state.KindRequeued,
 				state.Requeued{Gang: status.Gang, Cause: string(gang.CauseMemberLost)})
--- a/planner/interleave_test.go
+++ b/planner/interleave_test.go
@@ -14,10 +14,10 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// The world is a data centre of real worker stand-ins, one log, and planners
-// whose calls, answers and records are delayed, lost, doubled and reordered by
-// rapid. Time is a number. Every step checks the invariants on the workers
-// themselves, which no planner can deceive.
+// world simulates a data centre with stand-in workers, one log, and planners whose calls,
+// answers and records rapid delays, loses, duplicates and reorders. Time is a number.
+// Every step checks the invariants on the workers themselves, independently of any
+// planner's state.
 type world struct {
 	t       failer
 	now     time.Time
@@ -27,44 +27,44 @@
 	workers map[domain.WorkerID]*standin.Worker
 	log     []port.Record
 	logDown bool
-	// ignoreOrder is a broken variant: a start counts as recorded wherever it
-	// stands in the log.
+	// ignoreOrder is a broken variant: a start counts as recorded wherever it stands in
+	// the log.
 	ignoreOrder bool
-	planners    []*seat
-	flights     []*flight
+	planners    []*plannerSim
+	messages    []*message
 	jobs        int
 	epoch       uint64
 
-	running  map[domain.Incarnation]map[domain.WorkerID]bool
-	began    map[domain.Incarnation]time.Time
-	broken   map[domain.Incarnation]time.Time
-	crashed  map[domain.Incarnation]bool
-	released map[domain.JobID]map[domain.Incarnation]bool
-	idem     map[domain.JobID]bool
-	// violation is the first broken invariant, for tests that expect one.
+	running         map[domain.Incarnation]map[domain.WorkerID]bool
+	completeAt      map[domain.Incarnation]time.Time
+	incompleteSince map[domain.Incarnation]time.Time
+	crashed         map[domain.Incarnation]bool
+	attemptsRun     map[domain.JobID]map[domain.Incarnation]bool
+	idempotent      map[domain.JobID]bool
+	// violation is the first violated invariant, for tests that expect one.
 	violation string
 	lastCrash time.Time
 }
 
 type failer interface{ Fatalf(string, ...any) }
 
-// seat is one instance in the planner's role.
-type seat struct {
-	core *Core
-	jobs *state.Jobs
-	read int
-	cut  map[domain.WorkerID]bool
-	ids  domain.InstanceID
+// plannerSim is one instance that holds the planner role.
+type plannerSim struct {
+	core     *Core
+	jobs     *state.Jobs
+	read     int
+	cut      map[domain.WorkerID]bool
+	instance domain.InstanceID
 }
 
-func (s *seat) ended(id domain.JobID) bool {
+func (s *plannerSim) hasEnded(id domain.JobID) bool {
 	status, ok := s.jobs.Get(id)
 	return ok && status.State.Final()
 }
 
-// flight is a call on its way to a worker, or its answer on its way back.
-type flight struct {
-	seat     *seat
+// message is a call on its way to a worker, or its answer on its way back.
+type message struct {
+	sender   *plannerSim
 	call     Call
 	sent     time.Time
 	report   *port.Report
@@ -90,9 +90,9 @@
 	w := &world{
 		t: t, now: start, start: start, options: DefaultOptions(),
 		workers: map[domain.WorkerID]*standin.Worker{}, running: map[domain.Incarnation]map[domain.WorkerID]bool{},
-		began: map[domain.Incarnation]time.Time{}, broken: map[domain.Incarnation]time.Time{},
-		crashed: map[domain.Incarnation]bool{}, released: map[domain.JobID]map[domain.Incarnation]bool{},
-		idem: map[domain.JobID]bool{},
+		completeAt: map[domain.Incarnation]time.Time{}, incompleteSince: map[domain.Incarnation]time.Time{},
+		crashed: map[domain.Incarnation]bool{}, attemptsRun: map[domain.JobID]map[domain.Incarnation]bool{},
+		idempotent: map[domain.JobID]bool{},
 	}
 	for i := range workers {
 		spec := domain.Worker{
@@ -106,10 +106,10 @@
 	return w
 }
 
-func (w *world) addPlanner() *seat {
+func (w *world) addPlanner() *plannerSim {
 	w.epoch++
 	id := domain.InstanceID(fmt.Sprintf("i%d", w.epoch))
-	s := &seat{jobs: state.NewJobs(), cut: map[domain.WorkerID]bool{}, ids: id}
+	s := &plannerSim{jobs: state.NewJobs(), cut: map[domain.WorkerID]bool{}, instance: id}
 	s.core = New("dc", domain.Token{Epoch: w.epoch, Holder: id}, w.options, w.now)
 	w.planners = append(w.planners, s)
 	return s
@@ -127,7 +127,7 @@
 		Shape:    domain.Shape{Tasks: tasks, PerTask: domain.Resources{Accelerators: 2}},
 		Estimate: max(work.Run, domain.Duration(time.Second)), Payload: work.Encode(),
 	}
-	w.idem[id] = testClasses[class].Idempotent
+	w.idempotent[id] = testClasses[class].Idempotent
 	w.append("accepted/"+string(id), state.KindAccepted, state.Accepted{Job: job})
 	return id
 }
@@ -140,8 +140,8 @@
 	w.log = append(w.log, record)
 }
 
-// read folds up to n records of the log into the seat's state.
-func (w *world) read(s *seat, n int) {
+// read folds up to n records of the log into the planner's state.
+func (w *world) read(s *plannerSim, n int) {
 	for ; n > 0 && s.read < len(w.log); n-- {
 		if err := s.jobs.Fold(w.log[s.read]); err != nil {
 			w.t.Fatalf("%v", err)
@@ -150,14 +150,14 @@
 	}
 }
 
-func (w *world) tick(s *seat) {
+func (w *world) tick(s *plannerSim) {
 	jobs, version := s.jobs.Active()
 	out := s.core.Tick(Inputs{
 		Now: w.now, Workers: w.specs, Accounts: testAccounts, Classes: testClasses,
-		Jobs: jobs, Ended: s.ended, Version: version, Binding: s.jobs.Binding(),
+		Jobs: jobs, HasEnded: s.hasEnded, InputVersion: version, Binding: s.jobs.Binding(),
 	})
 	for _, call := range out.Calls {
-		w.flights = append(w.flights, &flight{seat: s, call: call, sent: w.now, original: true})
+		w.messages = append(w.messages, &message{sender: s, call: call, sent: w.now, original: true})
 	}
 	for _, e := range out.Emissions {
 		if e.Await == nil {
@@ -165,19 +165,19 @@
 			continue
 		}
 		if w.logDown {
-			s.core.Recorded(*e.Await, false)
+			s.core.HandleRecorded(*e.Await, false)
 			continue
 		}
 		w.append(e.ID, e.Kind, e.Payload)
 		w.read(s, len(w.log))
-		s.core.Recorded(*e.Await, w.ignoreOrder || s.jobs.MayRun(*e.Await))
+		s.core.HandleRecorded(*e.Await, w.ignoreOrder || s.jobs.MayRun(*e.Await))
 	}
 }
 
-// arrive carries one flight a step on.
-func (w *world) arrive(f *flight) {
+// deliver delivers a call to its worker, or the answer to its sender.
+func (w *world) deliver(f *message) {
 	if f.report == nil {
-		if f.seat.cut[f.call.Worker.ID] {
+		if f.sender.cut[f.call.Worker.ID] {
 			w.lose(f)
 			return
 		}
@@ -187,26 +187,26 @@
 		return
 	}
 	w.remove(f)
-	if f.original && !f.seat.cut[f.call.Worker.ID] {
-		f.seat.core.Answer(f.call, *f.report, nil, f.sent, w.now)
+	if f.original && !f.sender.cut[f.call.Worker.ID] {
+		f.sender.core.HandleAnswer(f.call, *f.report, nil, f.sent, w.now)
 	}
 }
 
-func (w *world) remove(f *flight) {
-	if i := slices.Index(w.flights, f); i >= 0 {
-		w.flights = slices.Delete(w.flights, i, i+1)
+func (w *world) remove(f *message) {
+	if i := slices.Index(w.messages, f); i >= 0 {
+		w.messages = slices.Delete(w.messages, i, i+1)
 	}
 }
 
-// lose drops a flight; its sender notices by its time-out.
-func (w *world) lose(f *flight) {
+// lose drops a message; its sender gets a timeout.
+func (w *world) lose(f *message) {
 	w.remove(f)
 	if f.original {
-		f.seat.core.Answer(f.call, port.Report{}, fmt.Errorf("timeout"), f.sent, w.now)
+		f.sender.core.HandleAnswer(f.call, port.Report{}, fmt.Errorf("timeout"), f.sent, w.now)
 	}
 }
 
-// crash restarts a worker with nothing on it.
+// crash restarts a worker, which loses its members.
 func (w *world) crash(id domain.WorkerID) {
 	for _, m := range w.workers[id].Members() {
 		w.crashed[m.Gang] = true
@@ -215,28 +215,28 @@
 	w.lastCrash = w.now
 }
 
-// ran counts the jobs that ran over all worlds of a test, to show that the
-// property is not held by doing nothing.
-var ran int
+// jobsRun counts the jobs that ran in all worlds of a test, to show that the property does
+// not hold because nothing ran.
+var jobsRun int
 
-func (w *world) settled() { ran += len(w.released) }
+func (w *world) countRun() { jobsRun += len(w.attemptsRun) }
 
-// settle delivers everything and lets every planner act, n rounds of d each.
-func (w *world) settle(n int, d time.Duration) {
+// runRounds delivers everything and lets every planner act, in n rounds of d each.
+func (w *world) runRounds(n int, d time.Duration) {
 	for range n {
 		for _, s := range w.planners {
 			w.read(s, len(w.log))
 			w.tick(s)
 		}
-		for len(w.flights) > 0 {
-			w.arrive(w.flights[0])
+		for len(w.messages) > 0 {
+			w.deliver(w.messages[0])
 		}
 		w.now = w.now.Add(d)
 		w.check()
 	}
 }
 
-// check holds the invariants of gangs against what the workers do.
+// check checks the invariants of gangs on the members that the workers report.
 func (w *world) check() {
 	members := map[domain.Incarnation]map[domain.WorkerID]port.Member{}
 	for id, worker := range w.workers {
@@ -249,23 +249,23 @@
 	}
 	alive := map[domain.JobID]domain.Incarnation{}
 	for gang, on := range members {
-		w.checkWhole(gang, on)
+		w.checkGang(gang, on)
 		for _, m := range on {
 			if m.State != port.TaskRunning {
 				continue
 			}
 			if other, twice := alive[gang.Job]; twice && other != gang {
-				w.fail("job %s runs twice at once: %v and %v", gang.Job, other, gang)
+				w.reportViolation("job %s runs twice at once: %v and %v", gang.Job, other, gang)
 			}
 			alive[gang.Job] = gang
 		}
 	}
 }
 
-// checkWhole: a gang's first member is released only once all are in place,
-// and no member goes on for longer than one and a half leases after another has
-// ended.
-func (w *world) checkWhole(gang domain.Incarnation, on map[domain.WorkerID]port.Member) {
+// checkGang checks that a gang's first member is released only after all members are
+// armed, and that no member continues for longer than one and a half leases after another
+// has ended.
+func (w *world) checkGang(gang domain.Incarnation, on map[domain.WorkerID]port.Member) {
 	size, present, running, finished := 0, 0, 0, 0
 	for _, m := range on {
 		size = max(size, m.Members)
@@ -281,74 +281,75 @@
 		}
 	}
 	if running == 0 {
-		delete(w.broken, gang)
+		delete(w.incompleteSince, gang)
 		return
 	}
-	w.checkOnce(gang)
+	w.checkSingleAttempt(gang)
 	if present == size {
-		delete(w.broken, gang)
-		w.began[gang] = w.now
+		delete(w.incompleteSince, gang)
+		w.completeAt[gang] = w.now
 		return
 	}
-	// A worker that dies takes its member with it, whatever is on the way to
-	// the others; the lease bounds how long they go on.
-	if _, whole := w.began[gang]; !whole && !w.crashed[gang] {
-		w.fail("gang %v runs with %d of %d members", gang, present, size)
+	// A crashed worker loses its member, whatever messages are on their way to the others;
+	// the lease bounds how long those continue.
+	if _, whole := w.completeAt[gang]; !whole && !w.crashed[gang] {
+		w.reportViolation("gang %v runs with %d of %d members", gang, present, size)
 	}
-	since, known := w.broken[gang]
+	since, known := w.incompleteSince[gang]
 	if !known {
-		w.broken[gang] = w.now
+		w.incompleteSince[gang] = w.now
 		return
 	}
 	if limit := w.options.Timing.Lease*3/2 + time.Second; w.now.Sub(since) > limit {
-		w.fail("gang %v goes on with %d of %d members for %v", gang, present, size, w.now.Sub(since))
+		w.reportViolation("gang %v has continued with %d of %d members for %v", gang, present, size, w.now.Sub(since))
 	}
 }
 
-// checkOnce: a job that must not run twice has one attempt that ever ran.
-func (w *world) checkOnce(gang domain.Incarnation) {
-	if w.released[gang.Job] == nil {
-		w.released[gang.Job] = map[domain.Incarnation]bool{}
+// checkSingleAttempt checks that only one attempt of a job that must not run twice has
+// ever run.
+func (w *world) checkSingleAttempt(gang domain.Incarnation) {
+	if w.attemptsRun[gang.Job] == nil {
+		w.attemptsRun[gang.Job] = map[domain.Incarnation]bool{}
 	}
-	w.released[gang.Job][gang] = true
-	if !w.idem[gang.Job] && len(w.released[gang.Job]) > 1 {
-		w.fail("job %s must not run twice, but %d attempts ran", gang.Job, len(w.released[gang.Job]))
+	w.attemptsRun[gang.Job][gang] = true
+	if !w.idempotent[gang.Job] && len(w.attemptsRun[gang.Job]) > 1 {
+		w.reportViolation("job %s must not run twice, but %d attempts ran", gang.Job, len(w.attemptsRun[gang.Job]))
 	}
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *world) reportViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
 	}
 	w.t.Fatalf(format, args...)
 }
 
-// drive runs random interleavings of everything that may happen.
-func drive(t *rapid.T, mutate func(*world)) {
+// runInterleavings runs random interleavings of all simulated events.
+func runInterleavings(t *rapid.T, mutate func(*world)) {
 	w := newWorld(t, 6)
 	if mutate != nil {
 		mutate(w)
 	}
 	w.addPlanner()
-	anyFlight := func(t *rapid.T) *flight {
-		if len(w.flights) == 0 {
+	anyMessage := func(t *rapid.T) *message {
+		if len(w.messages) == 0 {
 			t.Skip("nothing under way")
 		}
-		return w.flights[rapid.IntRange(0, len(w.flights)-1).Draw(t, "flight")]
+		return w.messages[rapid.IntRange(0, len(w.messages)-1).Draw(t, "flight")]
 	}
-	anySeat := func(t *rapid.T) *seat {
+	anyPlanner := func(t *rapid.T) *plannerSim {
 		return w.planners[rapid.IntRange(0, len(w.planners)-1).Draw(t, "planner")]
 	}
 	anyWorker := func(t *rapid.T) domain.WorkerID {
 		return w.specs[rapid.IntRange(0, len(w.specs)-1).Draw(t, "worker")].ID
 	}
 	deliver := func(t *rapid.T) {
-		for n := rapid.IntRange(1, 12).Draw(t, "n"); n > 0 && len(w.flights) > 0; n-- {
-			w.arrive(anyFlight(t))
+		for n := rapid.IntRange(1, 12).Draw(t, "n"); n > 0 && len(w.messages) > 0; n-- {
+			w.deliver(anyMessage(t))
 		}
 	}
 	tick := func(t *rapid.T) {
-		s := anySeat(t)
+		s := anyPlanner(t)
 		w.read(s, rapid.IntRange(0, 20).Draw(t, "records"))
 		w.tick(s)
 	}
@@ -368,23 +369,23 @@
 			id := domain.JobID(fmt.Sprintf("j%d", rapid.IntRange(1, w.jobs).Draw(t, "job")))
 			w.append("cancel/"+string(id), state.KindCancel, state.Cancel{Job: id})
 		},
-		"read": func(t *rapid.T) { w.read(anySeat(t), rapid.IntRange(0, 3).Draw(t, "records")) },
+		"read": func(t *rapid.T) { w.read(anyPlanner(t), rapid.IntRange(0, 3).Draw(t, "records")) },
 		"pass": func(t *rapid.T) {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(10, 3000).Draw(t, "ms")) * time.Millisecond)
 		},
 		"freeze": func(t *rapid.T) {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(5, 30).Draw(t, "s")) * time.Second)
 		},
-		"lose": func(t *rapid.T) { w.lose(anyFlight(t)) },
+		"lose": func(t *rapid.T) { w.lose(anyMessage(t)) },
 		"double": func(t *rapid.T) {
-			f := *anyFlight(t)
+			f := *anyMessage(t)
 			f.original = false
 			f.report = nil
-			w.flights = append(w.flights, &f)
+			w.messages = append(w.messages, &f)
 		},
 		"restart worker": func(t *rapid.T) {
-			// See package planner: restarts of half the workers at once, with
-			// two planners active, are not covered.
+			// See package planner: half of the workers restarting at once while two
+			// planners are active is not covered.
 			if w.now.Sub(w.lastCrash) <= w.options.Authority {
 				t.Skip("a worker has just restarted")
 			}
@@ -397,30 +398,30 @@
 			w.addPlanner()
 		},
 		"cut": func(t *rapid.T) {
-			s := anySeat(t)
+			s := anyPlanner(t)
 			for range rapid.IntRange(1, 3).Draw(t, "workers") {
 				s.cut[anyWorker(t)] = true
 			}
 		},
-		"heal": func(t *rapid.T) { anySeat(t).cut = map[domain.WorkerID]bool{} },
+		"heal": func(t *rapid.T) { anyPlanner(t).cut = map[domain.WorkerID]bool{} },
 		"log":  func(t *rapid.T) { w.logDown = rapid.Bool().Draw(t, "down") },
 	}
-	// Calm rounds and single deliveries are drawn more often than faults, so
+	// Rounds without faults and single deliveries are drawn more often than faults, so
 	// that gangs do get to run.
 	for i := range 6 {
-		actions[fmt.Sprintf("round %d", i)] = func(*rapid.T) { w.settle(2, 300*time.Millisecond) }
+		actions[fmt.Sprintf("round %d", i)] = func(*rapid.T) { w.runRounds(2, 300*time.Millisecond) }
 		actions[fmt.Sprintf("tick %d", i)] = tick
 		actions[fmt.Sprintf("deliver %d", i)] = deliver
 	}
 	t.Repeat(actions)
-	w.settled()
+	w.countRun()
 }
 
 func TestGangsHoldUnderRandomInterleavings(t *testing.T) {
-	ran = 0
-	rapid.Check(t, func(t *rapid.T) { drive(t, nil) })
-	if ran == 0 {
-		t.Error("no job ever ran: the property holds of nothing")
+	jobsRun = 0
+	rapid.Check(t, func(t *rapid.T) { runInterleavings(t, nil) })
+	if jobsRun == 0 {
+		t.Error("no job ran, so the property was not tested")
 	}
-	t.Logf("%d jobs ran", ran)
+	t.Logf("%d jobs ran", jobsRun)
 }
--- a/planner/mutants_test.go
+++ b/planner/mutants_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// Each mutant leaves out one of the rules that the gangs' invariants rest on.
-// The property must fail for every one of them.
+// Each mutant omits one of the rules that the invariants of gangs depend on. The property
+// must fail for each of them.
 func TestInterleavingsCatchMutants(t *testing.T) {
 	mutants := map[string]func(*world){
 		"members start before all are reserved": func(w *world) { w.options.UnorderedStart = true },
@@ -34,24 +34,24 @@
 	}
 	for name, mutate := range mutants {
 		t.Run(name, func(t *testing.T) {
-			if !seeded.Catches(t, func(t *rapid.T) { drive(t, mutate) }) {
-				t.Fatal("the property does not notice this mutant")
+			if !seeded.Catches(t, func(t *rapid.T) { runInterleavings(t, mutate) }) {
+				t.Fatal("the property does not detect this mutant")
 			}
 		})
 	}
 }
 
-// fixedTest lets worlds run without rapid.
-type fixedTest struct{ *testing.T }
+// plainTest allows to run a world without rapid.
+type plainTest struct{ *testing.T }
 
-func calmWorld(t *testing.T) (*world, *seat) {
-	w := newWorld(fixedTest{t}, 6)
+func newSteadyWorld(t *testing.T) (*world, *plannerSim) {
+	w := newWorld(plainTest{t}, 6)
 	s := w.addPlanner()
-	w.settle(3, 300*time.Millisecond)
+	w.runRounds(3, 300*time.Millisecond)
 	return w, s
 }
 
-func (w *world) state(s *seat, id domain.JobID) domain.JobState {
+func (w *world) jobState(s *plannerSim, id domain.JobID) domain.JobState {
 	w.read(s, len(w.log))
 	status, ok := s.jobs.Get(id)
 	if !ok {
@@ -60,50 +60,50 @@
 	return status.State
 }
 
-func TestEveryJobOfACalmFleetCompletes(t *testing.T) {
-	w, s := calmWorld(t)
+func TestEveryJobCompletesWithoutFaults(t *testing.T) {
+	w, s := newSteadyWorld(t)
 	var ids []domain.JobID
 	for i := range 20 {
 		class := []domain.ClassName{"again", "save", "once"}[i%3]
 		ids = append(ids, w.submit(class, "b", 1+i%4, 2*time.Second))
 	}
-	w.settle(200, 300*time.Millisecond)
+	w.runRounds(200, 300*time.Millisecond)
 	for _, id := range ids {
-		if got := w.state(s, id); got != domain.JobCompleted {
+		if got := w.jobState(s, id); got != domain.JobCompleted {
 			t.Errorf("%s is %s: %+v", id, got, s.core.held[id])
 		}
 	}
 	for id, worker := range w.workers {
 		if n := len(worker.Members()); n != 0 {
-			t.Errorf("worker %s still remembers %d gangs", id, n)
+			t.Errorf("worker %s still has members of %d gangs", id, n)
 		}
 	}
 }
 
 func TestPlannerKilledAtAnyStepLosesNoIdempotentJobAndRunsOthersAtMostOnce(t *testing.T) {
 	for killAt := range 25 {
-		w, _ := calmWorld(t)
+		w, _ := newSteadyWorld(t)
 		again := w.submit("again", "b", 3, 3*time.Second)
 		once := w.submit("once", "b", 2, 3*time.Second)
 		for range killAt {
 			s := w.planners[0]
 			w.read(s, len(w.log))
 			w.tick(s)
-			if len(w.flights) > 0 {
-				w.arrive(w.flights[0])
+			if len(w.messages) > 0 {
+				w.deliver(w.messages[0])
 			}
 			w.now = w.now.Add(100 * time.Millisecond)
 			w.check()
 		}
 		w.planners = nil
-		w.flights = nil
+		w.messages = nil
 		next := w.addPlanner()
-		w.settle(150, 300*time.Millisecond)
-		if got := w.state(next, again); got != domain.JobCompleted {
+		w.runRounds(150, 300*time.Millisecond)
+		if got := w.jobState(next, again); got != domain.JobCompleted {
 			t.Errorf("killed at step %d: the idempotent job is %s", killAt, got)
 		}
-		if got := w.state(next, once); got != domain.JobCompleted && got != domain.JobUnknown {
-			t.Errorf("killed at step %d: the job that runs once is %s", killAt, got)
+		if got := w.jobState(next, once); got != domain.JobCompleted && got != domain.JobUnknown {
+			t.Errorf("killed at step %d: the job that must not run twice is %s", killAt, got)
 		}
 	}
 }
@@ -111,15 +111,15 @@
 func TestLostAnswersOfEveryVerbDoNotDoubleWork(t *testing.T) {
 	for _, verb := range []port.Verb{port.VerbReserve, port.VerbArm, port.VerbRelease, port.VerbStop, port.VerbForget, port.VerbCheckpoint} {
 		t.Run(string(verb), func(t *testing.T) {
-			w, s := calmWorld(t)
+			w, s := newSteadyWorld(t)
 			id := w.submit("save", "b", 3, 4*time.Second)
 			lost := 0
 			for range 120 {
 				w.read(s, len(w.log))
 				w.tick(s)
-				for len(w.flights) > 0 {
-					f := w.flights[0]
-					w.arrive(f)
+				for len(w.messages) > 0 {
+					f := w.messages[0]
+					w.deliver(f)
 					if f.report != nil && f.call.Command.Verb == verb && lost < 2 {
 						lost++
 						w.lose(f)
@@ -128,23 +128,23 @@
 				w.now = w.now.Add(300 * time.Millisecond)
 				w.check()
 			}
-			if got := w.state(s, id); got != domain.JobCompleted {
-				t.Errorf("job is %s", got)
+			if got := w.jobState(s, id); got != domain.JobCompleted {
+				t.Errorf("the job is %s", got)
 			}
 			if lost == 0 && verb != port.VerbStop && verb != port.VerbCheckpoint {
-				t.Errorf("no answer to %s was lost: the test tests nothing", verb)
+				t.Errorf("no answer to %s was lost, so nothing was tested", verb)
 			}
 		})
 	}
 }
 
 func TestGuaranteedGangTakesItsCellBackWithinTheGrace(t *testing.T) {
-	w, s := calmWorld(t)
+	w, s := newSteadyWorld(t)
 	var borrowers []domain.JobID
 	for range 6 {
 		borrowers = append(borrowers, w.submit("save", "b", 1, time.Hour))
 	}
-	w.settle(10, 300*time.Millisecond)
+	w.runRounds(10, 300*time.Millisecond)
 	asked := w.now
 	shape := testAccounts["a"].Guarantees[0].Shape
 	job := domain.Job{
@@ -153,8 +153,8 @@
 	}
 	w.append("accepted/owner", state.KindAccepted, state.Accepted{Job: job})
 	for w.now.Sub(asked) < 20*time.Second {
-		w.settle(1, 100*time.Millisecond)
-		if len(w.released["owner"]) > 0 {
+		w.runRounds(1, 100*time.Millisecond)
+		if len(w.attemptsRun["owner"]) > 0 {
 			break
 		}
 	}
@@ -162,53 +162,53 @@
 	if took := w.now.Sub(asked); took > grace+2*time.Second {
 		t.Errorf("the guaranteed gang started after %v, the borrowers' grace is %v", took, grace)
 	}
-	w.settle(30, 300*time.Millisecond)
-	if got := w.state(s, "owner"); got != domain.JobCompleted {
+	w.runRounds(30, 300*time.Millisecond)
+	if got := w.jobState(s, "owner"); got != domain.JobCompleted {
 		t.Errorf("the guaranteed job is %s", got)
 	}
 	for _, id := range borrowers {
-		if got := w.state(s, id); got != domain.JobRunning {
+		if got := w.jobState(s, id); got != domain.JobRunning {
 			t.Errorf("borrower %s is %s, want it running again", id, got)
 		}
 	}
 }
 
-func TestWaveOfCancelsEndsEachJobOnceAndFreesTheFleet(t *testing.T) {
-	w, s := calmWorld(t)
+func TestManyCancellationsEndEachJobOnceAndFreeAllWorkers(t *testing.T) {
+	w, s := newSteadyWorld(t)
 	var ids []domain.JobID
 	for range 10_000 {
 		ids = append(ids, w.submit("again", "b", 1, time.Hour))
 	}
-	w.settle(5, 300*time.Millisecond)
+	w.runRounds(5, 300*time.Millisecond)
 	for range 2 {
 		for _, id := range ids {
 			w.append("cancel/"+string(id), state.KindCancel, state.Cancel{Job: id})
 		}
 	}
-	w.settle(15, 300*time.Millisecond)
+	w.runRounds(15, 300*time.Millisecond)
 	for _, id := range ids {
-		if got := w.state(s, id); got != domain.JobCancelled {
+		if got := w.jobState(s, id); got != domain.JobCancelled {
 			t.Fatalf("%s is %s", id, got)
 		}
 	}
 	for id, worker := range w.workers {
 		if n := len(worker.Members()); n != 0 {
-			t.Errorf("worker %s still holds %d gangs", id, n)
+			t.Errorf("worker %s still has members of %d gangs after the cancellations", id, n)
 		}
 	}
 }
 
-func TestBlackHoleWorkerIsQuarantinedAndJobsFinishElsewhere(t *testing.T) {
-	w, s := calmWorld(t)
+func TestWorkerThatFailsAllTasksIsQuarantinedAndJobsFinishElsewhere(t *testing.T) {
+	w, s := newSteadyWorld(t)
 	w.workers["w0"].SetFaults(standin.WorkerFaults{FailTasks: true})
 	var ids []domain.JobID
 	for range 30 {
 		ids = append(ids, w.submit("again", "b", 1, 2*time.Second))
-		w.settle(4, 300*time.Millisecond)
+		w.runRounds(4, 300*time.Millisecond)
 	}
-	w.settle(60, 300*time.Millisecond)
+	w.runRounds(60, 300*time.Millisecond)
 	for _, id := range ids {
-		if got := w.state(s, id); got != domain.JobCompleted {
+		if got := w.jobState(s, id); got != domain.JobCompleted {
 			t.Errorf("%s is %s", id, got)
 		}
 	}
@@ -217,90 +217,89 @@
 	}
 }
 
-func TestJobThatFailsEverywhereEndsAndTakesNoWorkerWithIt(t *testing.T) {
-	w, s := calmWorld(t)
+func TestJobThatFailsEverywhereEndsAndQuarantinesNoWorker(t *testing.T) {
+	w, s := newSteadyWorld(t)
 	var ids []domain.JobID
 	for range 12 {
 		ids = append(ids, w.submitPayload("again", "b", 1, standin.Workload{Fail: true}))
 	}
-	w.settle(120, 300*time.Millisecond)
+	w.runRounds(120, 300*time.Millisecond)
 	for _, id := range ids {
-		if got := w.state(s, id); got != domain.JobFailed {
+		if got := w.jobState(s, id); got != domain.JobFailed {
 			t.Errorf("%s is %s", id, got)
 		}
 	}
 	healthy := w.submit("again", "b", 6, time.Second)
-	w.settle(30, 300*time.Millisecond)
-	if got := w.state(s, healthy); got != domain.JobCompleted {
+	w.runRounds(30, 300*time.Millisecond)
+	if got := w.jobState(s, healthy); got != domain.JobCompleted {
 		t.Errorf("a healthy gang over the whole fleet is %s", got)
 	}
 }
 
-// A job whose tasks end the life of each worker that starts them was begun again each
-// time its worker was back, without end: an attempt that ends with its worker was put
-// back in line and counted nowhere, and only attempts whose tasks failed had a bound.
-// Under two planners, one after the other, a worker went down every 4 s: 17 starts in
-// 72 s, the job waiting or running all the while.
-func TestAJobThatCrashesItsWorkersIsGivenUp(t *testing.T) {
-	w, _ := calmWorld(t)
+// Guards against endless restarts of a job whose tasks crash the worker that starts them:
+// an attempt that ended with its worker was requeued and not counted, and only attempts
+// whose tasks failed were limited. Under two planners, one after the other, a worker
+// crashed every 4 s: 17 starts in 72 s, and the job stayed waiting or running.
+func TestJobThatCrashesItsWorkersFails(t *testing.T) {
+	w, _ := newSteadyWorld(t)
 	crashing := w.submitPayload("again", "b", 1, standin.Workload{Crash: true})
-	w.settle(40, 300*time.Millisecond)
+	w.runRounds(40, 300*time.Millisecond)
 	s := w.addPlanner()
-	w.settle(200, 300*time.Millisecond)
+	w.runRounds(200, 300*time.Millisecond)
 	starts := 0
 	for _, worker := range w.workers {
 		starts += len(worker.Starts())
 	}
-	if got := w.state(s, crashing); got != domain.JobFailed || starts > 5 {
+	if got := w.jobState(s, crashing); got != domain.JobFailed || starts > 5 {
 		t.Errorf("the job is %s after %d starts", got, starts)
 	}
 	healthy := w.submit("again", "b", 6, time.Second)
-	w.settle(30, 300*time.Millisecond)
-	if got := w.state(s, healthy); got != domain.JobCompleted {
+	w.runRounds(30, 300*time.Millisecond)
+	if got := w.jobState(s, healthy); got != domain.JobCompleted {
 		t.Errorf("a healthy gang over the whole fleet is %s", got)
 	}
 }
 
-// A planner that has read the job, but not yet that an earlier planner started
-// it, must not start it again. Found by a long run of the random interleavings
-// (seed 20261202, 100,000 worlds); with ignoreOrder the job runs twice.
-func TestStaleReaderDoesNotRunAJobTwice(t *testing.T) {
+// Guards against a planner that has read a job, but not yet that an earlier planner
+// started it, and starts it again; with ignoreOrder the job runs twice. Found by a long
+// run of the random interleavings (seed 20261202, 100,000 worlds).
+func TestPlannerWithStaleReadDoesNotRunAJobTwice(t *testing.T) {
 	for _, ignoreOrder := range []bool{false, true} {
-		for _, remembered := range []bool{false, true} {
-			caught, violation := staleReader(ignoreOrder, remembered)
-			// Workers that remember the first attempt keep the planner from a second one.
-			if caught != (ignoreOrder && !remembered) {
-				t.Errorf("ignoreOrder=%v, remembered=%v: the job ran twice: %v (%s)", ignoreOrder, remembered, caught, violation)
+		for _, keepsMembers := range []bool{false, true} {
+			caught, violation := runStaleReader(ignoreOrder, keepsMembers)
+			// Workers that still have the members of the first attempt prevent a second one.
+			if caught != (ignoreOrder && !keepsMembers) {
+				t.Errorf("ignoreOrder=%v, keepsMembers=%v: the job ran twice: %v (%s)", ignoreOrder, keepsMembers, caught, violation)
 			}
 		}
 	}
 }
 
-// staleReader plays a planner that reads the start of a job late, on workers that
-// remember what ran there or have restarted, and tells whether the job ran twice.
-func staleReader(ignoreOrder, remembered bool) (caught bool, violation string) {
-	r := &recordingTest{}
+// runStaleReader simulates a planner that reads the start of a job late, on workers that have
+// kept their members or have restarted, and reports whether the job ran twice.
+func runStaleReader(ignoreOrder, keepsMembers bool) (caught bool, violation string) {
+	r := &countingFailer{}
 	w := newWorld(r, 6)
 	w.ignoreOrder = ignoreOrder
 	w.addPlanner()
-	w.settle(3, 300*time.Millisecond)
+	w.runRounds(3, 300*time.Millisecond)
 	id := w.submit("once", "b", 2, 20*time.Second)
-	w.settle(4, 300*time.Millisecond)
+	w.runRounds(4, 300*time.Millisecond)
 	w.planners = nil
 	w.now = w.now.Add(30 * time.Second)
 	for _, spec := range w.specs {
-		if !remembered {
+		if !keepsMembers {
 			w.crash(spec.ID)
 		}
 	}
 	next := w.addPlanner()
 	for round := range 40 {
 		if _, known := next.jobs.Get(id); round > 10 && !known {
-			w.read(next, 2) // the binding and the job, not its start
+			w.read(next, 2) // the binding and the job, but not its start
 		}
 		w.tick(next)
-		for len(w.flights) > 0 {
-			w.arrive(w.flights[0])
+		for len(w.messages) > 0 {
+			w.deliver(w.messages[0])
 		}
 		w.now = w.now.Add(300 * time.Millisecond)
 		w.check()
@@ -308,7 +307,7 @@
 	return r.failures > 0, w.violation
 }
 
-// recordingTest counts failures instead of failing.
-type recordingTest struct{ failures int }
+// countingFailer counts failures instead of failing the test.
+type countingFailer struct{ failures int }
 
-func (r *recordingTest) Fatalf(string, ...any) { r.failures++ }
+func (r *countingFailer) Fatalf(string, ...any) { r.failures++ }
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -10,26 +10,26 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// planIfDue plans when something has changed, or when PlanEvery has passed.
+// planIfDue plans if something has changed or PlanInterval has passed.
 func (c *Core) planIfDue(in Inputs) {
-	if !c.mayStart(in.Now) {
+	if !c.canStart(in.Now) {
 		return
 	}
-	due := c.dirty || in.Version != c.lastVersion || in.Now.Sub(c.lastPlan) >= c.options.PlanEvery
+	due := c.planNeeded || in.InputVersion != c.lastVersion || in.Now.Sub(c.lastPlan) >= c.options.PlanInterval
 	if !due {
 		return
 	}
-	c.dirty = false
-	c.lastVersion = in.Version
+	c.planNeeded = false
+	c.lastVersion = in.InputVersion
 	c.lastPlan = in.Now
 	snapshot := c.snapshot(in)
 	c.apply(scheduler.Make(snapshot, c.options.Policy), snapshot, in)
 }
 
-// snapshot is what the scheduler decides on.
+// snapshot returns the input of the scheduler.
 func (c *Core) snapshot(in Inputs) scheduler.Snapshot {
 	s := scheduler.Snapshot{
-		Now: in.Now, DataCentre: c.DataCentre, Accounts: in.Accounts, Workers: c.order,
+		Now: in.Now, DataCentre: c.DataCentre, Accounts: in.Accounts, Workers: c.listed,
 		Unschedulable: c.unschedulable(in), Binding: c.binding, Reservations: c.reservations,
 	}
 	for _, id := range sortedJobs(c.machines) {
@@ -40,7 +40,7 @@
 		s.Gangs = append(s.Gangs, c.gangView(m, in.Now))
 	}
 	for _, status := range in.Jobs {
-		if c.waits(status, in) {
+		if c.isWaiting(status, in) {
 			s.Waiting = append(s.Waiting, scheduler.Waiting{
 				Job: status.Job, Class: in.Classes[status.Job.Class], Since: status.Job.Submitted,
 				Expected: c.estimates.Expect(status.Job), Avoid: status.FailedOn,
@@ -50,16 +50,16 @@
 	return s
 }
 
-func (c *Core) waits(status state.Status, in Inputs) bool {
+func (c *Core) isWaiting(status state.Status, in Inputs) bool {
 	local := c.localOf(status.Job.ID)
-	if status.CancelRequested || local.ended || c.machines[status.Job.ID] != nil || c.stoppingOrphan(status.Job.ID) {
+	if status.CancelRequested || local.ended || c.machines[status.Job.ID] != nil || c.hasOrphan(status.Job.ID) {
 		return false
 	}
 	if in.LogDown && !in.Classes[status.Job.Class].Idempotent {
 		return false
 	}
-	// A running state here is an attempt that this planner has concluded, and
-	// whose end the log has yet to show.
+	// A job that is running according to the log is an attempt that this planner has
+	// concluded and whose end it has not read from the log yet.
 	return !in.Now.Before(local.notBefore)
 }
 
@@ -67,26 +67,27 @@
 	return scheduler.Gang{
 		Job: m.Job, Class: m.Class, Placement: m.Placement, Guaranteed: m.Guaranteed,
 		Stopping: m.Phase() == gang.Checkpointing || m.Phase() == gang.Stopping,
-		Started:  m.Began, Saved: m.Saved,
-		Remaining: c.estimates.Remaining(m.Job, now.Sub(m.Began)),
+		Started:  m.Created, Saved: m.LastCheckpoint,
+		Remaining: c.estimates.Remaining(m.Job, now.Sub(m.Created)),
 	}
 }
 
-// unschedulable are workers that are silent, drained, evacuated or in quarantine.
+// unschedulable returns the workers that are silent, draining, evacuated, quarantined, or
+// not trusted after a restart.
 func (c *Core) unschedulable(in Inputs) map[domain.WorkerID]bool {
-	out := c.book.Aside(c.order, in.Now)
-	for _, spec := range c.order {
+	out := c.quarantine.Quarantined(c.listed, in.Now)
+	for _, spec := range c.listed {
 		w := c.workers[spec.ID]
-		silent := !w.claimed || in.Now.Sub(w.acked) > c.options.Authority
-		if silent || in.Evacuated || in.Draining[spec.ID] || !c.trusted(w) {
+		silent := !w.claimed || in.Now.Sub(w.lastAck) > c.options.Authority
+		if silent || in.Evacuated || in.Draining[spec.ID] || !c.isTrusted(w) {
 			out[spec.ID] = true
 		}
 	}
 	return out
 }
 
-// apply carries a plan out. Between the snapshot and here nothing has changed,
-// because Core runs one step at a time; the workers check once more.
+// apply carries out a plan. Nothing has changed since the snapshot, because Core runs one
+// step at a time; the workers check each command again.
 func (c *Core) apply(plan scheduler.Plan, snapshot scheduler.Snapshot, in Inputs) {
 	c.reservations = plan.Reservations
 	c.held = make(map[domain.JobID]scheduler.Held, len(plan.Held))
@@ -104,7 +105,7 @@
 		}
 	}
 	c.start(plan.Starts, snapshot, in)
-	c.drain(in)
+	c.preemptDraining(in)
 }
 
 func (c *Core) start(starts []scheduler.Start, snapshot scheduler.Snapshot, in Inputs) {
@@ -129,9 +130,9 @@
 	}
 }
 
-// drain preempts the gangs on workers that operators are emptying, where their
-// class allows it; the others are left to finish.
-func (c *Core) drain(in Inputs) {
+// preemptDraining preempts the gangs on draining workers if their class is preemptible;
+// the others run to their end.
+func (c *Core) preemptDraining(in Inputs) {
 	if len(in.Draining) == 0 {
 		return
 	}
--- a/planner/quarantine/quarantine.go
+++ b/planner/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine notices workers that fail every task they start. Such a
-// worker looks idle and attracts work. A job that fails everywhere must not
-// put workers aside, so only failures of distinct jobs count, and they are
-// taken back when the job turns out to be at fault.
+// Package quarantine detects workers that fail every task they start. Such a worker looks
+// idle and attracts work. A job that fails everywhere must not get workers quarantined, so
+// only failures of distinct jobs count, and they are removed if the job turns out to be at
+// fault.
 package quarantine
 
 import (
@@ -10,85 +10,86 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Options bound quarantine.
+// Options are the settings of quarantine.
 type Options struct {
-	// DistinctJobs that failed in a row put a worker aside.
+	// DistinctJobs is how many jobs must fail on a worker, without a success in between,
+	// for it to be quarantined.
 	DistinctJobs int
-	// Probe is how long a worker stays aside before it gets one more try;
-	// it doubles with every try that fails, up to MaxProbe.
-	Probe, MaxProbe time.Duration
-	// MaxRackShare is the largest part of a rack that may be aside at once.
+	// ProbeDelay is how long a worker is quarantined before it gets one more attempt; it
+	// doubles with every attempt that fails, up to MaxProbeDelay.
+	ProbeDelay, MaxProbeDelay time.Duration
+	// MaxRackShare is the largest part of a rack that may be quarantined at once.
 	MaxRackShare float64
 }
 
-// DefaultOptions put a worker aside after three jobs in a row.
+// DefaultOptions quarantine a worker after three failed jobs in a row.
 func DefaultOptions() Options {
-	return Options{DistinctJobs: 3, Probe: time.Minute, MaxProbe: time.Hour, MaxRackShare: 0.5}
+	return Options{DistinctJobs: 3, ProbeDelay: time.Minute, MaxProbeDelay: time.Hour, MaxRackShare: 0.5}
 }
 
-type record struct {
-	failed map[domain.JobID]bool
-	until  time.Time
-	pause  time.Duration
+type failureRecord struct {
+	failedJobs       map[domain.JobID]bool
+	quarantinedUntil time.Time
+	probeDelay       time.Duration
 }
 
-// Book keeps the failures of workers. Not safe for concurrent use.
-type Book struct {
+// Tracker records the failures of workers. It is not safe for concurrent use.
+type Tracker struct {
 	options Options
-	workers map[domain.WorkerID]*record
+	workers map[domain.WorkerID]*failureRecord
 }
 
-// NewBook returns a book without failures.
-func NewBook(options Options) *Book {
-	return &Book{options: options, workers: map[domain.WorkerID]*record{}}
+// NewTracker returns a Tracker without failures.
+func NewTracker(options Options) *Tracker {
+	return &Tracker{options: options, workers: map[domain.WorkerID]*failureRecord{}}
 }
 
-// Succeeded clears a worker.
-func (b *Book) Succeeded(worker domain.WorkerID) { delete(b.workers, worker) }
+// RecordSuccess removes the failures of a worker.
+func (b *Tracker) RecordSuccess(worker domain.WorkerID) { delete(b.workers, worker) }
 
-// Failed notes that a job's tasks failed on a worker.
-func (b *Book) Failed(worker domain.WorkerID, job domain.JobID, now time.Time) {
+// RecordFailure records that a job's tasks failed on a worker.
+func (b *Tracker) RecordFailure(worker domain.WorkerID, job domain.JobID, now time.Time) {
 	r, ok := b.workers[worker]
 	if !ok {
-		r = &record{failed: map[domain.JobID]bool{}, pause: b.options.Probe}
+		r = &failureRecord{failedJobs: map[domain.JobID]bool{}, probeDelay: b.options.ProbeDelay}
 		b.workers[worker] = r
 	}
-	r.failed[job] = true
-	if len(r.failed) < b.options.DistinctJobs {
+	r.failedJobs[job] = true
+	if len(r.failedJobs) < b.options.DistinctJobs {
 		return
 	}
-	r.until = now.Add(r.pause)
-	r.pause = min(2*r.pause, b.options.MaxProbe)
+	r.quarantinedUntil = now.Add(r.probeDelay)
+	r.probeDelay = min(2*r.probeDelay, b.options.MaxProbeDelay)
 }
 
-// Forgive takes a job's failures back: it failed everywhere.
-func (b *Book) Forgive(job domain.JobID) {
+// ClearJob removes the failures of a job that failed everywhere.
+func (b *Tracker) ClearJob(job domain.JobID) {
 	for _, r := range b.workers {
-		delete(r.failed, job)
-		if len(r.failed) < b.options.DistinctJobs {
-			r.until = time.Time{}
+		delete(r.failedJobs, job)
+		if len(r.failedJobs) < b.options.DistinctJobs {
+			r.quarantinedUntil = time.Time{}
 		}
 	}
 }
 
-// Aside returns the workers that get nothing new now, within each rack's cap.
-// Workers must be in a stable order.
-func (b *Book) Aside(workers []domain.Worker, now time.Time) map[domain.WorkerID]bool {
-	size := map[domain.RackID]int{}
+// Quarantined returns the workers that are quarantined now, limited to the allowed part of
+// each rack. The workers must be in a stable order.
+func (b *Tracker) Quarantined(workers []domain.Worker, now time.Time) map[domain.WorkerID]bool {
+	rackSize := map[domain.RackID]int{}
 	for _, w := range workers {
-		size[w.Rack]++
+		rackSize[w.Rack]++
 	}
 	out := map[domain.WorkerID]bool{}
-	taken := map[domain.RackID]int{}
+	quarantined := map[domain.RackID]int{}
 	for _, w := range workers {
 		r, ok := b.workers[w.ID]
-		if !ok || !now.Before(r.until) {
+		if !ok || !now.Before(r.quarantinedUntil) {
 			continue
 		}
-		if float64(taken[w.Rack]+1) > b.options.MaxRackShare*float64(size[w.Rack]) {
+		if float64(quarantined[w.Rack]+1) > b.options.MaxRackShare*float64(rackSize[w.Rack]) {
 			continue
 		}
-		taken[w.Rack]++
+		quarantined[w.Rack]++
 		out[w.ID] = true
 	}
 	return out
--- a/planner/runner.go
+++ b/planner/runner.go
@@ -11,16 +11,16 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// Publisher puts the planner's records where they last.
+// Publisher appends the planner's records to the log.
 type Publisher interface {
-	// Keep puts a record into the log, now or once the log is back.
+	// Keep appends a record to the log, now or as soon as the log is available again.
 	Keep(e Emission)
-	// Record puts a record into the log now, and tells whether the log's order
-	// lets the attempt go on.
+	// Record appends a record to the log now, and reports whether the order of the log
+	// allows the attempt to run.
 	Record(ctx context.Context, e Emission) bool
 }
 
-// Runner drives a Core while its instance holds the planner's role.
+// Runner runs a Core while its instance holds the planner role.
 type Runner struct {
 	DataCentre domain.DataCentre
 	Instance   domain.InstanceID
@@ -28,40 +28,40 @@
 	Workers    port.Workers
 	Publisher  Publisher
 	Jobs       *state.Jobs
-	// Configuration, Fleet, Draining and LogDown give the present view.
+	// Configuration, Fleet, Draining and LogDown return the current state.
 	Configuration func() configuration.Snapshot
 	Fleet         func() []domain.Worker
 	Draining      func() map[domain.WorkerID]bool
 	LogDown       func() bool
-	// Evacuated tells whether operators want nothing new in the data centre.
+	// Evacuated reports whether operators want nothing new in the data centre.
 	Evacuated func() bool
-	// Mine tells whether this instance holds the role.
+	// Mine reports whether this instance holds the planner role.
 	Mine func() bool
-	// OnChange is told when the role is taken up or given up.
+	// OnChange is called when the role is taken or released.
 	OnChange func(planning bool)
 
-	core     *Core
-	epoch    uint64
-	notUntil time.Time
-	answers  chan func()
-	queries  chan func()
-	jobs     []state.Status
-	version  uint64
-	cfg      configuration.Version
-	inputs   uint64
+	core          *Core
+	epoch         uint64
+	retryRoleAt   time.Time
+	answers       chan func()
+	queries       chan func()
+	jobs          []state.Status
+	jobsVersion   uint64
+	configVersion configuration.Version
+	inputVersion  uint64
 }
 
-// tickEvery is the longest time between two ticks.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is the longest time between two ticks.
+const tickInterval = 100 * time.Millisecond
 
-// callTimeout bounds one call to a worker.
+// callTimeout is the timeout of one call to a worker.
 const callTimeout = 2 * time.Second
 
-// Run takes part until ctx ends. What runs on the workers goes on after it, and
-// is taken over by the next planner.
+// Run runs until ctx is done. The gangs on the workers continue after that and are taken
+// over by the next planner.
 func (r *Runner) Run(ctx context.Context) {
 	r.answers = make(chan func(), 1024)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -69,7 +69,7 @@
 			return
 		case f := <-r.answers:
 			f()
-			r.takeAnswers()
+			r.drainAnswers()
 		case f := <-r.queries:
 			f()
 			continue
@@ -79,8 +79,8 @@
 	}
 }
 
-// takeAnswers takes what else has come in, so that one tick serves many.
-func (r *Runner) takeAnswers() {
+// drainAnswers processes all answers that have arrived, so that one tick serves them all.
+func (r *Runner) drainAnswers() {
 	for {
 		select {
 		case f := <-r.answers:
@@ -91,11 +91,11 @@
 	}
 }
 
-// Init makes the runner ready for queries; call it before Run.
+// Init prepares the runner for queries; call it before Run.
 func (r *Runner) Init() { r.queries = make(chan func()) }
 
-// Explain returns why a job waits. ok is false when this instance does not plan
-// or does not hold the job back.
+// Explain returns the reason for which a job waits. ok is false if this instance does not
+// plan or does not hold the job back.
 func (r *Runner) Explain(ctx context.Context, id domain.JobID) (held scheduler.Held, ok bool) {
 	done := make(chan struct{})
 	query := func() {
@@ -113,7 +113,7 @@
 }
 
 func (r *Runner) step(ctx context.Context, now time.Time) {
-	if !r.hold(now) {
+	if !r.updateRole(now) {
 		return
 	}
 	out := r.core.Tick(r.input(now))
@@ -126,14 +126,14 @@
 	}
 }
 
-// deposedPause keeps two instances that both believe they plan from taking the
-// role from each other without end.
+// deposedPause is the pause after which a deposed planner takes the role again. It keeps
+// two instances that both hold the role from deposing each other endlessly.
 const deposedPause = 3 * time.Second
 
-// hold takes the role up or gives it up.
-func (r *Runner) hold(now time.Time) bool {
+// updateRole takes or releases the role and reports whether this instance plans.
+func (r *Runner) updateRole(now time.Time) bool {
 	if !r.Mine() {
-		r.giveUp()
+		r.releaseRole()
 		return false
 	}
 	if r.core != nil {
@@ -143,11 +143,11 @@
 		}
 		r.epoch = max(r.epoch, by.Epoch)
 		if by.Holder != r.Instance && r.core.adopted {
-			r.notUntil = now.Add(deposedPause)
+			r.retryRoleAt = now.Add(deposedPause)
 		}
-		r.giveUp()
+		r.releaseRole()
 	}
-	if now.Before(r.notUntil) {
+	if now.Before(r.retryRoleAt) {
 		return false
 	}
 	r.epoch++
@@ -156,7 +156,7 @@
 	return true
 }
 
-func (r *Runner) giveUp() {
+func (r *Runner) releaseRole() {
 	if r.core == nil {
 		return
 	}
@@ -166,34 +166,34 @@
 
 func (r *Runner) input(now time.Time) Inputs {
 	configured := r.Configuration()
-	if version := r.Jobs.Version(); r.jobs == nil || version != r.version || configured.Version != r.cfg {
-		r.jobs, r.version = r.Jobs.Active()
-		r.cfg = configured.Version
-		r.inputs++
+	if version := r.Jobs.Version(); r.jobs == nil || version != r.jobsVersion || configured.Version != r.configVersion {
+		r.jobs, r.jobsVersion = r.Jobs.Active()
+		r.configVersion = configured.Version
+		r.inputVersion++
 	}
 	return Inputs{
 		Now: now, Workers: r.Fleet(), Accounts: configured.Declarations.Accounts, Classes: configured.Declarations.Classes,
-		Jobs: r.jobs, Ended: r.ended, Version: r.inputs, Binding: r.Jobs.Binding(), Draining: r.Draining(), LogDown: r.LogDown(), Evacuated: r.Evacuated(),
+		Jobs: r.jobs, HasEnded: r.hasEnded, InputVersion: r.inputVersion, Binding: r.Jobs.Binding(), Draining: r.Draining(), LogDown: r.LogDown(), Evacuated: r.Evacuated(),
 	}
 }
 
-func (r *Runner) ended(id domain.JobID) bool {
+func (r *Runner) hasEnded(id domain.JobID) bool {
 	status, ok := r.Jobs.Get(id)
 	return ok && status.State.Final()
 }
 
-// do carries out one call and hands its answer to the loop. Answers to a core
-// that has been given up are dropped with it.
+// do carries out one call and passes its answer to the loop. Answers to a Core that has
+// been released are dropped.
 func (r *Runner) do(ctx context.Context, core *Core, call Call) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := time.Now()
 	report, err := r.Workers.Do(callCtx, call.Worker, call.Command)
 	received := time.Now()
-	r.hand(ctx, core, func() { core.Answer(call, report, err, sent, received) })
+	r.deliver(ctx, core, func() { core.HandleAnswer(call, report, err, sent, received) })
 }
 
-func (r *Runner) hand(ctx context.Context, core *Core, f func()) {
+func (r *Runner) deliver(ctx context.Context, core *Core, f func()) {
 	guarded := func() {
 		if r.core == core {
 			f()
@@ -212,6 +212,6 @@
 	}
 	go func() {
 		ok := r.Publisher.Record(ctx, e)
-		r.hand(ctx, core, func() { core.Recorded(*e.Await, ok) })
+		r.deliver(ctx, core, func() { core.HandleRecorded(*e.Await, ok) })
 	}()
 }
