--- a/workload/service/gone_test.go
+++ b/workload/service/dropped_keys_test.go
@@ -11,9 +11,9 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// wasAway is an instance that was away while a job ended and was forgotten, and while the log
-// dropped that history. It has read a topic before, and reads it again after.
-func wasAway(t *testing.T, log *shared, f *follower, topic Topic, key string) {
+// readAcrossCompaction reads a topic, drops a key, compacts the log and reads the topic again,
+// as an instance does that was disconnected while a job ended and its records were dropped.
+func readAcrossCompaction(t *testing.T, log *sharedLog, f *follower, topic Topic, key string) {
 	t.Helper()
 	ctx := context.Background()
 	if err := f.readSnapshot(ctx); err != nil {
@@ -22,35 +22,36 @@
 	if _, err := log.Append(ctx, topic, []control.Record{{Key: key}}, nil); err != nil {
 		t.Fatal(err)
 	}
-	log.forget(topic)
+	log.compact(topic)
 	if _, err := f.readNext(ctx, 0); err == nil {
-		t.Fatal("the history is still there")
+		t.Fatal("the log still keeps the history")
 	}
 	if err := f.readSnapshot(ctx); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A statement that the log has no more does not keep an instance from claiming for good.
-func TestAStatementThatIsGoneHoldsNoClaimUp(t *testing.T) {
+// Guards against an instance that can never claim again because it waits for the progress of a
+// job whose state record the log no longer has.
+func TestDroppedStateDoesNotBlockClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := newShared(poolRate)
+		log := newSharedLog(poolReadRate)
 		s := New(poolSettings("edge-0", 1, "0"), log, poolDecoder{}, nil, nil, nil)
-		statement := control.Record{Key: workload.StatedKey("a"), Value: []byte(`{"q":"q","s":"running","b":true}`)}
-		if _, err := log.Append(context.Background(), States, []control.Record{statement}, nil); err != nil {
+		state := control.Record{Key: workload.StatedKey("a"), Value: []byte(`{"q":"q","s":"running","b":true}`)}
+		if _, err := log.Append(context.Background(), States, []control.Record{state}, nil); err != nil {
 			t.Fatal(err)
 		}
-		wasAway(t, log, s.states, States, statement.Key)
+		readAcrossCompaction(t, log, s.states, States, state.Key)
 		if !s.book.Complete() {
-			t.Error("the book waits for the progress of a job that the log has no more")
+			t.Error("the book waits for the progress of a job that the log no longer has")
 		}
 	})
 }
 
-// Progress that the log has no more is no job to take over.
-func TestAJobThatIsGoneIsNotTakenOver(t *testing.T) {
+// Guards against a planner that adopts a job whose records the log no longer has.
+func TestDroppedJobIsNotAdopted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := newShared(poolRate)
+		log := newSharedLog(poolReadRate)
 		s := New(poolSettings("edge-0", 1, "0"), log, poolDecoder{}, nil, nil, nil)
 		ctx := context.Background()
 		value, err := json.Marshal(&workload.Job{ID: "a", Queue: "q", Spec: "s", Steps: []workload.Step{{Count: 1, EstimateMS: 1000}}, AcceptedMS: 1})
@@ -65,15 +66,15 @@
 		if _, err := log.Append(ctx, Plans, []control.Record{progress}, nil); err != nil {
 			t.Fatal(err)
 		}
-		wasAway(t, log, s.acceptances.topics[0], Jobs, accepted.Key)
-		wasAway(t, log, s.plans, Plans, progress.Key)
+		readAcrossCompaction(t, log, s.acceptances.topics[0], Jobs, accepted.Key)
+		readAcrossCompaction(t, log, s.plans, Plans, progress.Key)
 		if e, known := s.book.Get("a"); known {
-			t.Logf("left of the job: accepted %t, progress %s", e.Job != nil, e.Progress)
+			t.Logf("the book still has the job: accepted %t, progress %s", e.Job != nil, e.Progress)
 		}
 		core := control.New(s.settings.Bounds, 1, time.Now())
 		s.book.All(core.Adopt)
 		if n := core.Jobs(); n > 0 && s.book.Complete() {
-			t.Errorf("%d jobs are taken over that have ended and were forgotten", n)
+			t.Errorf("%d jobs were adopted although they had ended and were dropped", n)
 		}
 	})
 }
--- a/workload/service/evacuation_test.go
+++ b/workload/service/evacuation_test.go
@@ -8,14 +8,16 @@
 	"time"
 )
 
-// evacuateWithin is the bound of the deployments, soon the aim while the log is sound.
+// evacuationBound is the deployments' limit on the time from a request to the last start,
+// healthyEvacuationBound the target for that time while the log is healthy. defaultLoadTime is how
+// long jobs are submitted after a request.
 const (
-	evacuateWithin = 5 * time.Second
-	soon           = 500 * time.Millisecond
-	lastsElse      = 8 * time.Second
+	evacuationBound        = 5 * time.Second
+	healthyEvacuationBound = 500 * time.Millisecond
+	defaultLoadTime        = 8 * time.Second
 )
 
-// declare writes a declaration as operators do; "" takes it back.
+// declare writes a declaration as operators do; an empty value withdraws it.
 func (p *pool) declare(key, value string) {
 	p.log.mu.Lock()
 	defer p.log.mu.Unlock()
@@ -25,8 +27,9 @@
 	t.changed = make(chan struct{})
 }
 
-// began returns how many tasks began in a data centre after a time.
-func (p *pool) began(centre int, after time.Time) (n int, last time.Time) {
+// startsIn returns the number of tasks that started in a data centre after a time, and the time
+// of the last start.
+func (p *pool) startsIn(centre int, after time.Time) (n int, last time.Time) {
 	p.workers.mu.Lock()
 	defer p.workers.mu.Unlock()
 	for _, s := range p.workers.starts {
@@ -39,96 +42,97 @@
 	return n, last
 }
 
-// handIn submits jobs for a while, also where they are refused.
-func (p *pool) handIn(from int, lasts time.Duration) int {
+// submitDuring submits jobs for a while, including ones that are refused. It returns the number
+// of the next job.
+func (p *pool) submitDuring(from int, duration time.Duration) int {
 	n := from
-	for until := time.Now().Add(lasts); time.Now().Before(until); n++ {
+	for until := time.Now().Add(duration); time.Now().Before(until); n++ {
 		if at := p.instances[n%len(p.instances)]; !at.killed {
-			go p.submitAnyhow(n, at)
+			go p.trySubmit(n, at)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return n
 }
 
-// Whatever happens to the log or to the planner around the request, nothing begins in
-// an evacuated data centre later than its bound, and on a sound log after half a second.
-// What is taken back gets work at once.
-func TestAnEvacuationHoldsUnderEachTrouble(t *testing.T) {
+// Guards against starts in a data centre whose evacuation was requested longer ago than the
+// bound (half a second if the log is healthy), whatever happens to the log or the planner
+// around the request. Once the request is withdrawn, tasks start there again at once.
+func TestNothingStartsInAnEvacuatedDataCentreUnderFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		// before and after act on the pool around the request.
 		before, after func(*pool)
 		within        time.Duration
-		// lasts is how long work is handed in after the request; 0 is lastsElse.
-		lasts time.Duration
+		// loadTime is how long jobs are submitted after the request; 0 is defaultLoadTime.
+		loadTime time.Duration
 	}{
-		"nothing else":            {within: soon},
-		"the log forgets at once": {after: func(p *pool) { p.log.forget(Declarations) }, within: soon},
-		"the log is slow":         {before: func(p *pool) { p.log.setSlow(400 * time.Millisecond) }, within: evacuateWithin},
-		"the planner is killed":   {after: func(p *pool) { p.killPlanner() }, within: soon},
-		"the planner was killed":  {before: func(p *pool) { p.killPlanner() }, within: soon},
-		"declarations can't be read for a while": {
-			before: func(p *pool) { p.log.setDeaf(Declarations, true) },
+		"no fault":               {within: healthyEvacuationBound},
+		"the log drops history":  {after: func(p *pool) { p.log.compact(Declarations) }, within: healthyEvacuationBound},
+		"the log is slow":        {before: func(p *pool) { p.log.setDelay(400 * time.Millisecond) }, within: evacuationBound},
+		"the planner is killed":  {after: func(p *pool) { p.killPlanner() }, within: healthyEvacuationBound},
+		"the planner was killed": {before: func(p *pool) { p.killPlanner() }, within: healthyEvacuationBound},
+		"declarations are unreadable for 3 s": {
+			before: func(p *pool) { p.log.setUnanswered(Declarations, true) },
 			after: func(p *pool) {
-				time.AfterFunc(3*time.Second, func() { p.log.setDeaf(Declarations, false) })
+				time.AfterFunc(3*time.Second, func() { p.log.setUnanswered(Declarations, false) })
 			},
-			within: evacuateWithin,
+			within: evacuationBound,
 		},
-		"declarations can't be read for long": {
-			before: func(p *pool) { p.log.setDeaf(Declarations, true) },
+		"declarations are unreadable for 20 s": {
+			before: func(p *pool) { p.log.setUnanswered(Declarations, true) },
 			after: func(p *pool) {
-				time.AfterFunc(20*time.Second, func() { p.log.setDeaf(Declarations, false) })
+				time.AfterFunc(20*time.Second, func() { p.log.setUnanswered(Declarations, false) })
 			},
-			// A part of the log that is down stretches the bound.
-			within: evacuateWithin + poolStretch, lasts: 22 * time.Second,
+			// The bound is longer while a part of the log is down.
+			within: evacuationBound + poolStretch, loadTime: 22 * time.Second,
 		},
-		"another data centre as well": {before: func(p *pool) { p.declare("evacuate/2", "{}") }, within: soon},
-		"taken back and asked again": {
+		"another data centre is evacuated as well": {before: func(p *pool) { p.declare("evacuate/2", "{}") }, within: healthyEvacuationBound},
+		"withdrawn and requested again": {
 			before: func(p *pool) {
 				p.declare("evacuate/1", "{}")
 				p.declare("evacuate/1", "")
 			},
-			within: soon,
+			within: healthyEvacuationBound,
 		},
-		"bytes that can't be read": {within: soon},
+		"the declaration can't be decoded": {within: healthyEvacuationBound},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPool(t, 6, 40)
 				defer p.stopAll()
-				time.Sleep(poolWarm)
-				n := p.handIn(0, 2*time.Second)
-				if began, _ := p.began(1, time.Time{}); began == 0 {
-					t.Fatal("nothing ran in the data centre before")
+				time.Sleep(poolWarmup)
+				n := p.submitDuring(0, 2*time.Second)
+				if starts, _ := p.startsIn(1, time.Time{}); starts == 0 {
+					t.Fatal("no task started in the data centre before the request")
 				}
 				if c.before != nil {
 					c.before(p)
 				}
 				value := "{}"
-				if name == "bytes that can't be read" {
+				if name == "the declaration can't be decoded" {
 					value = "\xff{"
 				}
 				p.declare("evacuate/1", value)
-				asked := time.Now()
+				requestedAt := time.Now()
 				if c.after != nil {
 					c.after(p)
 				}
-				n = p.handIn(n, cmp.Or(c.lasts, lastsElse))
-				if began, last := p.began(1, asked.Add(c.within)); began > 0 {
-					t.Errorf("%d tasks began later than %v, the last after %v", began, c.within, last.Sub(asked))
+				n = p.submitDuring(n, cmp.Or(c.loadTime, defaultLoadTime))
+				if starts, last := p.startsIn(1, requestedAt.Add(c.within)); starts > 0 {
+					t.Errorf("%d tasks started more than %v after the request, the last one after %v", starts, c.within, last.Sub(requestedAt))
 				}
-				p.log.setSlow(0)
-				if elsewhere, _ := p.began(0, asked.Add(c.within)); elsewhere == 0 {
-					t.Error("nothing began elsewhere")
+				p.log.setDelay(0)
+				if otherStarts, _ := p.startsIn(0, requestedAt.Add(c.within)); otherStarts == 0 {
+					t.Error("no task started in another data centre")
 				}
 				p.declare("evacuate/1", "")
-				back := time.Now()
-				p.handIn(n, 4*time.Second)
-				if began, _ := p.began(1, back); began == 0 {
-					t.Error("nothing began after it was taken back")
+				withdrawnAt := time.Now()
+				p.submitDuring(n, 4*time.Second)
+				if starts, _ := p.startsIn(1, withdrawnAt); starts == 0 {
+					t.Error("no task started after the request was withdrawn")
 				}
-				if len(p.workers.twice) > 0 {
-					t.Errorf("ran twice: %v", p.workers.twice)
+				if len(p.workers.duplicates) > 0 {
+					t.Errorf("tasks that ran twice: %v", p.workers.duplicates)
 				}
 			})
 		})
--- a/workload/service/members_test.go
+++ b/workload/service/members_test.go
@@ -9,14 +9,14 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// Members that come in one page are told of once: the order of all is made anew for each page,
-// not for each of the members of a fleet that starts together.
-func TestMembersThatComeTogetherAreToldOfOnce(t *testing.T) {
+// Guards against sorting all members once for each entry when many instances start together:
+// the members of one page are reported once.
+func TestMembersReadInOnePageAreReportedOnce(t *testing.T) {
 	const instances = 600
-	log := newShared(1e9)
-	tells, others := 0, 0
+	log := newSharedLog(1e9)
+	reports, others := 0, 0
 	m := &members{self: "self", own: member{Address: "self"}, others: map[string]member{}}
-	m.changed = func(all []string, _ int) { tells, others = tells+1, len(all) }
+	m.changed = func(all []string, _ int) { reports, others = reports+1, len(all) }
 	f := &follower{topic: Members, log: log, wait: func() time.Duration { return 0 }, applyOne: m.apply, afterPage: m.notifyChanged}
 	var records []control.Record
 	for i := range instances {
@@ -31,7 +31,7 @@
 		}
 		f.next = instances
 	}
-	if tells != 1 || others != instances {
-		t.Fatalf("%d others told of, %d times", others, tells)
+	if reports != 1 || others != instances {
+		t.Fatalf("%d other members were reported, in %d calls", others, reports)
 	}
 }
--- a/workload/service/pool_test.go
+++ b/workload/service/pool_test.go
@@ -17,52 +17,52 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// Many whole instances over one log that shares its bandwidth, and a pool of
-// workers, in virtual time. What is held here is what breaks first when there are
-// many: bytes and calls at the log, how old what an instance has read is, and
-// what is left when those who stand by are lost.
-
-// shared is a log in memory with the rules of fencing, whose reads share a rate.
-type shared struct {
-	mu     sync.Mutex
-	topics map[Topic]*sharedTopic
-	rate   float64
-	busy   time.Time
-	// reads and bytes count what was asked, by topic.
+// Many complete instances with one log of limited bandwidth and a pool of workers, in virtual
+// time. Its tests check what fails first when there are many instances: the bytes and calls at
+// the log, the age of what an instance has read, and recovery from the loss of the standbys.
+
+// sharedLog is a log in memory that enforces fencing. All its reads share one rate.
+type sharedLog struct {
+	mu        sync.Mutex
+	topics    map[Topic]*sharedTopic
+	rate      float64
+	busyUntil time.Time
+	// reads and bytes count the reads and their bytes by topic.
 	reads map[Topic]int
 	bytes map[Topic]int
-	// slow is what each call takes beyond answerTime, deaf are topics whose reads
-	// have no answer.
-	slow time.Duration
-	deaf map[Topic]bool
-	// appended is told of each append under an epoch, with when it was sent; nil is nobody.
-	appended func(epoch int64, sent time.Time)
+	// delay is added to callLatency for each call. Reads of the unanswered topics get no
+	// answer.
+	delay      time.Duration
+	unanswered map[Topic]bool
+	// onAppend is called for each append with an epoch and the time at which it was sent; nil
+	// is allowed.
+	onAppend func(epoch int64, sent time.Time)
 }
 
-func (l *shared) setSlow(d time.Duration) {
+func (l *sharedLog) setDelay(d time.Duration) {
 	l.mu.Lock()
-	l.slow = d
+	l.delay = d
 	l.mu.Unlock()
 }
 
-func (l *shared) setDeaf(topic Topic, deaf bool) {
+func (l *sharedLog) setUnanswered(topic Topic, unanswered bool) {
 	l.mu.Lock()
-	l.deaf = map[Topic]bool{topic: deaf}
+	l.unanswered = map[Topic]bool{topic: unanswered}
 	l.mu.Unlock()
 }
 
-// takes is what a call takes now.
-func (l *shared) takes() time.Duration {
+// callTime returns the current duration of a call.
+func (l *sharedLog) callTime() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return answerTime + l.slow
+	return callLatency + l.delay
 }
 
-// forget drops all records of a topic but the newest of each key.
-func (l *shared) forget(topic Topic) {
+// compact drops all records of a topic except the newest of each key.
+func (l *sharedLog) compact(topic Topic) {
 	l.mu.Lock()
 	t := l.topic(topic)
-	t.first = int64(len(t.records))
+	t.firstKept = int64(len(t.records))
 	l.mu.Unlock()
 }
 
@@ -71,17 +71,18 @@
 	changed chan struct{}
 	epoch   int64
 	seq     int64
-	// lastFirst is the first offset of the last append of a writer; a repetition gets it again.
-	lastFirst int64
-	// first is the offset of the first record that is kept one by one.
-	first int64
+	// lastAppendOffset is the first offset of the last append of a writer, which is returned
+	// for a repetition of that append.
+	lastAppendOffset int64
+	// firstKept is the offset from which all single records are kept.
+	firstKept int64
 }
 
-func newShared(rate float64) *shared {
-	return &shared{topics: map[Topic]*sharedTopic{}, rate: rate, reads: map[Topic]int{}, bytes: map[Topic]int{}}
+func newSharedLog(rate float64) *sharedLog {
+	return &sharedLog{topics: map[Topic]*sharedTopic{}, rate: rate, reads: map[Topic]int{}, bytes: map[Topic]int{}}
 }
 
-func (l *shared) topic(name Topic) *sharedTopic {
+func (l *sharedLog) topic(name Topic) *sharedTopic {
 	t := l.topics[name]
 	if t == nil {
 		t = &sharedTopic{changed: make(chan struct{})}
@@ -90,22 +91,22 @@
 	return t
 }
 
-// answerTime is what any call takes.
-const answerTime = 4 * time.Millisecond
+// callLatency is the duration of any call.
+const callLatency = 4 * time.Millisecond
 
-func (l *shared) Append(ctx context.Context, topic Topic, records []control.Record, w *Writer) (int64, error) {
+func (l *sharedLog) Append(ctx context.Context, topic Topic, records []control.Record, w *Writer) (int64, error) {
 	began := time.Now()
-	sleep(ctx, l.takes())
+	sleep(ctx, l.callTime())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w != nil && l.appended != nil {
-		defer func() { l.appended(w.Epoch, began) }()
+	if w != nil && l.onAppend != nil {
+		defer func() { l.onAppend(w.Epoch, began) }()
 	}
 	t := l.topic(topic)
 	end := int64(len(t.records))
 	if w != nil {
 		if w.Epoch == t.epoch && w.Seq == t.seq {
-			return t.lastFirst, nil
+			return t.lastAppendOffset, nil
 		}
 		if w.Expect >= 0 && w.Expect != end {
 			return 0, ErrMoved
@@ -113,7 +114,7 @@
 		if w.Epoch < t.epoch || (w.Epoch == t.epoch && w.Seq != t.seq+1) {
 			return 0, ErrFenced
 		}
-		t.epoch, t.seq, t.lastFirst = w.Epoch, w.Seq, end
+		t.epoch, t.seq, t.lastAppendOffset = w.Epoch, w.Seq, end
 	}
 	for i, r := range records {
 		t.records = append(t.records, Entry{Offset: end + int64(i), Key: r.Key, Value: r.Value})
@@ -123,33 +124,33 @@
 	return end, nil
 }
 
-// sent books the bytes of an answer and waits until they have left.
-func (l *shared) sent(ctx context.Context, topic Topic, entries []Entry) {
-	size := emptyAnswer
+// deliver counts the bytes of an answer and waits until they are transferred.
+func (l *sharedLog) deliver(ctx context.Context, topic Topic, entries []Entry) {
+	size := emptyAnswerBytes
 	for _, e := range entries {
 		size += len(e.Key) + len(e.Value)
 	}
 	l.mu.Lock()
 	l.reads[topic]++
 	l.bytes[topic] += size
-	if now := time.Now(); l.busy.Before(now) {
-		l.busy = now
+	if now := time.Now(); l.busyUntil.Before(now) {
+		l.busyUntil = now
 	}
-	l.busy = l.busy.Add(time.Duration(float64(size) / l.rate * float64(time.Second)))
-	until := l.busy
+	l.busyUntil = l.busyUntil.Add(time.Duration(float64(size) / l.rate * float64(time.Second)))
+	until := l.busyUntil
 	l.mu.Unlock()
-	sleep(ctx, time.Until(until)+l.takes())
+	sleep(ctx, time.Until(until)+l.callTime())
 }
 
-func (l *shared) Read(ctx context.Context, topic Topic, from int64, wait time.Duration) (Page, error) {
+func (l *sharedLog) Read(ctx context.Context, topic Topic, from int64, wait time.Duration) (Page, error) {
 	l.mu.Lock()
 	t := l.topic(topic)
-	if l.deaf[topic] {
+	if l.unanswered[topic] {
 		l.mu.Unlock()
-		sleep(ctx, wait+deafFor)
+		sleep(ctx, wait+unansweredMargin)
 		return Page{}, ErrUnknown
 	}
-	if from < t.first {
+	if from < t.firstKept {
 		l.mu.Unlock()
 		return Page{}, ErrForgotten
 	}
@@ -169,19 +170,19 @@
 	page := Page{Next: int64(len(t.records)), End: int64(len(t.records))}
 	page.Entries = slices.Clone(t.records[min(from, page.End):])
 	l.mu.Unlock()
-	l.sent(ctx, topic, page.Entries)
+	l.deliver(ctx, topic, page.Entries)
 	return page, ctx.Err()
 }
 
-// deafFor is how long an answer is waited for beyond what the read asked to wait.
-const deafFor = 500 * time.Millisecond
+// unansweredMargin is how long a reader waits for an answer beyond the wait that it requested.
+const unansweredMargin = 500 * time.Millisecond
 
-func (l *shared) Probe(ctx context.Context, topic Topic) error {
+func (l *sharedLog) Probe(ctx context.Context, topic Topic) error {
 	_, err := l.Read(ctx, topic, 0, 0)
 	return err
 }
 
-func (l *shared) Newest(ctx context.Context, topic Topic, _ string) (NewestPage, error) {
+func (l *sharedLog) Newest(ctx context.Context, topic Topic, _ string) (NewestPage, error) {
 	l.mu.Lock()
 	t := l.topic(topic)
 	newest := map[string]int{}
@@ -195,57 +196,58 @@
 		}
 	}
 	l.mu.Unlock()
-	l.sent(ctx, topic, page.Entries)
+	l.deliver(ctx, topic, page.Entries)
 	return page, ctx.Err()
 }
 
-// poolWorkers carries orders out on a fleet of which all is known.
+// poolWorkers executes orders on a simulated fleet.
 type poolWorkers struct {
 	mu    sync.Mutex
 	fleet *workertest.Fleet
-	// lives counts the runs of each task that have begun and not ended, begun all
-	// that began, done those that ended as done.
-	lives, begun, done map[workload.TaskID]int
-	twice              []string
-	// starts are what began, in order.
-	starts []startSeen
-	// ordered is told of each order's token; nil is nobody.
-	ordered func(token int64)
-}
-
-// startSeen is a task that began on a worker.
-type startSeen struct {
+	// running counts the runs of each task that have started and not ended, started all runs
+	// that have started, done those that ended as done.
+	running, started, done map[workload.TaskID]int
+	duplicates             []string
+	// starts holds the starts in order.
+	starts []taskStart
+	// onOrder is called with the token of each order; nil is allowed.
+	onOrder func(token int64)
+}
+
+// taskStart is the start of a task on a worker.
+type taskStart struct {
 	at     time.Time
 	worker string
 }
 
-func (w *poolWorkers) see(e workertest.Event) {
+func (w *poolWorkers) observe(e workertest.Event) {
 	switch {
 	case e.How == "":
-		w.begun[e.Task]++
-		w.starts = append(w.starts, startSeen{time.Now(), e.Worker})
-		if w.lives[e.Task]++; w.lives[e.Task] > 1 || w.done[e.Task] > 0 {
-			w.twice = append(w.twice, e.Task.String())
+		w.started[e.Task]++
+		w.starts = append(w.starts, taskStart{time.Now(), e.Worker})
+		if w.running[e.Task]++; w.running[e.Task] > 1 || w.done[e.Task] > 0 {
+			w.duplicates = append(w.duplicates, e.Task.String())
 		}
 	default:
-		w.lives[e.Task]--
+		w.running[e.Task]--
 		if e.How == control.EndDone {
 			w.done[e.Task]++
 		}
 	}
 }
 
-// sent notes that an order has left.
-func (w *poolWorkers) sent(token int64) {
+// notifyOrder calls onOrder.
+func (w *poolWorkers) notifyOrder(token int64) {
 	w.mu.Lock()
-	ordered := w.ordered
+	onOrder := w.onOrder
 	w.mu.Unlock()
-	if ordered != nil {
-		ordered(token)
+	if onOrder != nil {
+		onOrder(token)
 	}
 }
 
-func (w *poolWorkers) on(id string, f func(*workertest.Worker)) {
+// withWorker calls f with a worker after the transit time of an order.
+func (w *poolWorkers) withWorker(id string, f func(*workertest.Worker)) {
 	time.Sleep(time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -253,26 +255,26 @@
 }
 
 func (w *poolWorkers) Start(_ context.Context, o control.StartOrder) (out control.Answer) {
-	w.sent(o.Token)
-	w.on(o.Worker, func(one *workertest.Worker) { out = one.Start(o, time.Now()) })
+	w.notifyOrder(o.Token)
+	w.withWorker(o.Worker, func(worker *workertest.Worker) { out = worker.Start(o, time.Now()) })
 	return out
 }
 
 func (w *poolWorkers) Stop(_ context.Context, o control.StopOrder) (out control.Answer) {
-	w.sent(o.Token)
-	w.on(o.Worker, func(one *workertest.Worker) { out = one.Stop(o, time.Now()) })
+	w.notifyOrder(o.Token)
+	w.withWorker(o.Worker, func(worker *workertest.Worker) { out = worker.Stop(o, time.Now()) })
 	return out
 }
 
 func (w *poolWorkers) Hold(ctx context.Context, o control.HoldOrder) (out control.HoldAnswer) {
-	w.sent(o.Token)
+	w.notifyOrder(o.Token)
 	for until := time.Now().Add(o.Wait); ; sleep(ctx, 50*time.Millisecond) {
-		fresh := false
-		w.on(o.Worker, func(one *workertest.Worker) {
-			out = one.Hold(o, time.Now())
-			fresh = len(out.Ended) > 0
+		hasEnds := false
+		w.withWorker(o.Worker, func(worker *workertest.Worker) {
+			out = worker.Hold(o, time.Now())
+			hasEnds = len(out.Ended) > 0
 		})
-		if fresh || !time.Now().Before(until) || ctx.Err() != nil {
+		if hasEnds || !time.Now().Before(until) || ctx.Err() != nil {
 			return out
 		}
 	}
@@ -286,7 +288,7 @@
 	return control.AdviceAnswer{}
 }
 
-// poolDecoder reads records that are written in the product's own terms.
+// poolDecoder decodes records that hold the types of this module.
 type poolDecoder struct{}
 
 func (poolDecoder) Directory(string, []byte) (*Directory, bool, error) {
@@ -307,10 +309,10 @@
 
 var poolTerms = workload.Terms{Service: "pool", Attempts: 3, Stretch: 3, TargetMS: 1000}
 
-// pool is a deployment in virtual time.
+// pool is a deployment of instances and workers in virtual time.
 type pool struct {
 	t         *testing.T
-	log       *shared
+	log       *sharedLog
 	workers   *poolWorkers
 	instances []*poolInstance
 	jobs      []*workload.Job
@@ -320,33 +322,33 @@
 	*Service
 	name string
 	stop func()
-	// ahead is for how long the instance was suspended so far, in nanoseconds: its clock of
-	// ages has run on by that, its timers have not.
-	ahead *atomic.Int64
-	// killed tells that the test has ended it.
+	// clockOffset is the total duration of the instance's suspensions, in nanoseconds: its
+	// clock of ages has advanced by that, its timers have not.
+	clockOffset *atomic.Int64
+	// killed is set when the test has killed the instance.
 	killed bool
 }
 
 const (
-	poolTasks = 26
-	poolRun   = 900 * time.Millisecond
-	poolRate  = 80e6
-	// poolStretch is how much older what one topic tells may be than all else.
+	poolTasksPerJob = 26
+	poolTaskTime    = 900 * time.Millisecond
+	poolReadRate    = 80e6
+	// poolStretch is how much older than the others one topic may be.
 	poolStretch = 8 * time.Second
-	// poolSpec is the length of a job's spec, in bytes.
-	poolSpec = 600
+	// poolSpecBytes is the size of a job's spec.
+	poolSpecBytes = 600
 )
 
 func newPool(t *testing.T, instances, workers int) *pool {
-	p := &pool{t: t, log: newShared(poolRate)}
-	p.workers = &poolWorkers{lives: map[workload.TaskID]int{}, begun: map[workload.TaskID]int{}, done: map[workload.TaskID]int{}}
+	p := &pool{t: t, log: newSharedLog(poolReadRate)}
+	p.workers = &poolWorkers{running: map[workload.TaskID]int{}, started: map[workload.TaskID]int{}, done: map[workload.TaskID]int{}}
 	p.workers.fleet = &workertest.Fleet{
 		Limits: workertest.Limits{HoldMax: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second, CheckpointEvery: time.Second},
 		Step:   func(workload.TaskID) (workload.Step, bool) { return poolStep(), true },
 		Work: func(workload.TaskID, int64, string) workertest.Work {
-			return workertest.Work{Takes: poolRun}
+			return workertest.Work{Takes: poolTaskTime}
 		},
-		Seen: p.workers.see,
+		Seen: p.workers.observe,
 	}
 	capacity := workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}
 	for i := range workers {
@@ -360,13 +362,13 @@
 	}
 	p.put(Declarations, "config", []byte("{}"))
 	for i := range instances {
-		p.start(i)
+		p.startNumbered(i)
 	}
 	return p
 }
 
 func poolStep() workload.Step {
-	return workload.Step{Count: poolTasks, Need: workload.Resources{MilliCPU: 4000, Accelerators: 1}, EstimateMS: poolRun.Milliseconds()}
+	return workload.Step{Count: poolTasksPerJob, Need: workload.Resources{MilliCPU: 4000, Accelerators: 1}, EstimateMS: poolTaskTime.Milliseconds()}
 }
 
 func (p *pool) put(topic Topic, key string, value []byte) {
@@ -374,17 +376,17 @@
 	t.records = append(t.records, Entry{Offset: int64(len(t.records)), Key: key, Value: value})
 }
 
-// start begins an instance; one in ten is strong.
-func (p *pool) start(i int) {
+// startNumbered starts the nth instance; every tenth is powerful.
+func (p *pool) startNumbered(i int) {
 	name := fmt.Sprintf("edge-%03d", i)
 	power := 0.1
 	if i%10 == 0 {
 		power = 0.8
 	}
-	p.begin(poolSettings(name, power, fmt.Sprint(i%5)), p.log, p.workers, nil)
+	p.startInstance(poolSettings(name, power, fmt.Sprint(i%5)), p.log, p.workers, nil)
 }
 
-// poolSettings are those of an instance of a pool.
+// poolSettings returns the settings of an instance of a pool.
 func poolSettings(name string, power float64, centre string) Settings {
 	bounds := control.Bounds{
 		Lease: 6 * time.Second, Authority: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second,
@@ -396,10 +398,10 @@
 	}
 }
 
-// begin starts an instance.
-func (p *pool) begin(settings Settings, log Log, workers Workers, lines *events.Log) *poolInstance {
-	ahead := &atomic.Int64{}
-	settings.Clock = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
+// startInstance starts an instance with the given settings.
+func (p *pool) startInstance(settings Settings, log Log, workers Workers, lines *events.Log) *poolInstance {
+	clockOffset := &atomic.Int64{}
+	settings.Clock = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 	s := New(settings, log, poolDecoder{}, workers, lines, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -407,9 +409,9 @@
 		s.Run(ctx)
 		close(ended)
 	}()
-	one := &poolInstance{Service: s, name: settings.Instance, ahead: ahead, stop: func() { cancel(); <-ended }}
-	p.instances = append(p.instances, one)
-	return one
+	instance := &poolInstance{Service: s, name: settings.Instance, clockOffset: clockOffset, stop: func() { cancel(); <-ended }}
+	p.instances = append(p.instances, instance)
+	return instance
 }
 
 func (p *pool) stopAll() {
@@ -418,9 +420,9 @@
 	}
 }
 
-// submit hands a job in at an instance.
+// submit submits a job to an instance, which must accept it.
 func (p *pool) submit(n int, at *poolInstance) {
-	job := &workload.Job{ID: workload.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Spec: strings.Repeat("x", poolSpec), Steps: []workload.Step{poolStep()}, AcceptedMS: time.Now().UnixMilli(), Terms: poolTerms}
+	job := &workload.Job{ID: workload.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Spec: strings.Repeat("x", poolSpecBytes), Steps: []workload.Step{poolStep()}, AcceptedMS: time.Now().UnixMilli(), Terms: poolTerms}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if err := at.Submit(ctx, job); err != nil {
@@ -430,32 +432,32 @@
 	p.jobs = append(p.jobs, job)
 }
 
-// submitAnyhow hands a job in whatever becomes of it.
-func (p *pool) submitAnyhow(n int, at *poolInstance) {
+// trySubmit submits a job to an instance and ignores the result.
+func (p *pool) trySubmit(n int, at *poolInstance) {
 	job := &workload.Job{ID: workload.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Spec: "s", Steps: []workload.Step{poolStep()}, AcceptedMS: time.Now().UnixMilli(), Terms: poolTerms}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	_ = at.Submit(ctx, job)
 }
 
-// killPlanner ends the instance that plans, as a kill would.
+// killPlanner kills the instance that plans.
 func (p *pool) killPlanner() {
-	for _, one := range p.planners() {
-		one.killed = true
-		go one.stop()
+	for _, instance := range p.planners() {
+		instance.killed = true
+		go instance.stop()
 	}
 }
 
-// state asks an instance for a job.
+// state queries an instance for the state of a job.
 func (p *pool) state(at *poolInstance, id workload.JobID) (workload.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	return at.State(ctx, id)
 }
 
-// waitFor asks instances, one after the other, until all show each job as
-// completed.
-func (p *pool) waitFor(jobs []*workload.Job, most time.Duration) {
+// awaitCompleted waits until all jobs are shown as completed, with each query at the next
+// instance.
+func (p *pool) awaitCompleted(jobs []*workload.Job, limit time.Duration) {
 	began := time.Now()
 	for i := 0; len(jobs) > 0; i++ {
 		at := p.instances[i%len(p.instances)]
@@ -463,14 +465,14 @@
 			jobs = jobs[1:]
 			continue
 		}
-		if time.Since(began) > most {
-			p.t.Fatalf("%d jobs have not ended after %v", len(jobs), most)
+		if time.Since(began) > limit {
+			p.t.Fatalf("%d jobs have not completed after %v", len(jobs), limit)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// planners lists the instances that plan.
+// planners returns the instances that plan.
 func (p *pool) planners() (out []*poolInstance) {
 	for _, i := range p.instances {
 		if i.planning.Load() {
@@ -480,8 +482,8 @@
 	return out
 }
 
-// readers counts the instances that read what a planner writes.
-func (p *pool) readers() (out []*poolInstance) {
+// plansReaders returns the instances that read the planner's records.
+func (p *pool) plansReaders() (out []*poolInstance) {
 	for _, i := range p.instances {
 		if i.plans.upToDate() {
 			out = append(out, i)
--- a/workload/service/refusal_test.go
+++ b/workload/service/refusal_test.go
@@ -16,9 +16,9 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// reasons reads the list of reasons where it is declared, so that a new one
-// can't be left out here.
-func reasons(t *testing.T) []domain.Reason {
+// declaredReasons reads the reasons from the source file that declares them, so that the test
+// covers new ones too.
+func declaredReasons(t *testing.T) []domain.Reason {
 	text, err := os.ReadFile("../../domain/refusal.go")
 	if err != nil {
 		t.Fatal(err)
@@ -30,15 +30,16 @@
 	return out
 }
 
-func TestEveryReasonOfARefusalHasItsLineAndItsCounter(t *testing.T) {
-	list := reasons(t)
+// Guards against refusals that are not logged or not counted by their reason.
+func TestEveryRefusalReasonIsLoggedAndCounted(t *testing.T) {
+	list := declaredReasons(t)
 	if len(list) < 10 {
-		t.Fatalf("only %d reasons were found", len(list))
+		t.Fatalf("only %d declared reasons were found", len(list))
 	}
 	metrics := telemetry.New()
 	out := &bytes.Buffer{}
 	log := events.New(out, events.Fields{"instance": "a"}, metrics.Count)
-	s := New(Settings{Instance: "a"}, &partly{}, nil, nil, log, metrics)
+	s := New(Settings{Instance: "a"}, &partialLog{}, nil, nil, log, metrics)
 	for i, reason := range list {
 		s.NoteRefusal(workload.JobID(fmt.Sprintf("%016x", i)), domain.Refuse(reason, "", "message", "remedy"))
 	}
@@ -48,11 +49,11 @@
 	for i, reason := range list {
 		line := regexp.MustCompile(fmt.Sprintf(`"job":"%016x".*"reason":%q`, i, reason))
 		if !line.MatchString(out.String()) {
-			t.Errorf("no line for %s", reason)
+			t.Errorf("no log line for reason %s", reason)
 		}
 		counter := fmt.Sprintf(`cobalttide_reasons_total{event="job-refused",reason=%q} 1`, reason)
 		if !strings.Contains(answer.Body.String(), counter) {
-			t.Errorf("no counter for %s", reason)
+			t.Errorf("no counter for reason %s", reason)
 		}
 	}
 }
--- a/workload/service/scale_test.go
+++ b/workload/service/scale_test.go
@@ -14,45 +14,46 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// load hands jobs in at instances in turn and returns how old the states were at
-// the most at any instance meanwhile.
-func (p *pool) load(from, n int, every time.Duration) time.Duration {
+// submitAndMeasureAge submits jobs to the instances in turn and returns the maximum age of the
+// states at any instance meanwhile.
+func (p *pool) submitAndMeasureAge(from, n int, every time.Duration) time.Duration {
 	oldest := time.Duration(0)
 	for i := range n {
 		p.submit(from+i, p.instances[(7*i)%len(p.instances)])
 		time.Sleep(every)
-		for _, one := range p.instances {
-			oldest = max(oldest, one.statesAge(time.Now()))
+		for _, instance := range p.instances {
+			oldest = max(oldest, instance.statesAge(time.Now()))
 		}
 	}
 	return oldest
 }
 
 const (
-	// poolWarm is when those have stopped to read the plans that began to before they knew the others.
-	poolWarm = 10 * time.Second
-	poolJobs = 60
+	// poolWarmup is the time after which instances have stopped to read the plans if they started
+	// to before they knew the others.
+	poolWarmup = 10 * time.Second
+	poolJobs   = 60
 )
 
-// play runs a pool of so many instances through one load and returns the bytes
-// read of each topic, and all calls.
-func playPool(t *testing.T, instances int) (bytes map[Topic]int, calls int) {
+// runPool submits jobs to a pool of the given size. It returns the bytes read of each topic and
+// the number of calls.
+func runPool(t *testing.T, instances int) (bytes map[Topic]int, calls int) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(t, instances, 40)
 		defer p.stopAll()
-		time.Sleep(poolWarm)
-		before, callsBefore := p.read()
-		if oldest := p.load(0, poolJobs, 100*time.Millisecond); oldest > 1500*time.Millisecond {
-			t.Errorf("what an instance told was %v old", oldest)
+		time.Sleep(poolWarmup)
+		before, callsBefore := p.readTotals()
+		if oldest := p.submitAndMeasureAge(0, poolJobs, 100*time.Millisecond); oldest > 1500*time.Millisecond {
+			t.Errorf("the states at an instance were %v old", oldest)
 		}
-		p.waitFor(p.jobs, 20*time.Second)
-		if len(p.planners()) != 1 || len(p.readers()) > 5 {
-			t.Errorf("%d plan, %d read the plans", len(p.planners()), len(p.readers()))
+		p.awaitCompleted(p.jobs, 20*time.Second)
+		if len(p.planners()) != 1 || len(p.plansReaders()) > 5 {
+			t.Errorf("%d instances plan, %d read the plans", len(p.planners()), len(p.plansReaders()))
 		}
-		if len(p.workers.twice) > 0 {
-			t.Errorf("tasks began twice: %v", p.workers.twice)
+		if len(p.workers.duplicates) > 0 {
+			t.Errorf("tasks began twice: %v", p.workers.duplicates)
 		}
-		after, callsAfter := p.read()
+		after, callsAfter := p.readTotals()
 		for topic := range after {
 			after[topic] -= before[topic]
 		}
@@ -61,8 +62,8 @@
 	return bytes, calls
 }
 
-// read returns the bytes read so far, by topic, and all calls.
-func (p *pool) read() (map[Topic]int, int) {
+// readTotals returns the bytes read so far by topic and the number of reads.
+func (p *pool) readTotals() (map[Topic]int, int) {
 	p.log.mu.Lock()
 	defer p.log.mu.Unlock()
 	out, calls := map[Topic]int{}, 0
@@ -73,115 +74,118 @@
 	return out, calls
 }
 
-// Of a job of 26 tasks with a spec of 600 bytes an instance that does not stand by
-// reads its statements, whatever the number of instances.
-func TestWhatAnInstanceReadsFollowsFromWhatItNeeds(t *testing.T) {
-	few, fewCalls := playPool(t, 10)
-	many, manyCalls := playPool(t, 150)
+// Guards against reads and calls of an instance that grow with the number of instances. Of a job
+// of 26 tasks with a spec of 600 bytes, an instance that is not a standby reads only the state
+// records.
+func TestReadsPerInstanceDoNotGrowWithTheInstanceCount(t *testing.T) {
+	few, fewCalls := runPool(t, 10)
+	many, manyCalls := runPool(t, 150)
 	total := func(bytes map[Topic]int) (sum int) {
 		for _, n := range bytes {
 			sum += n
 		}
 		return sum
 	}
-	// Two or three statements of some 60 bytes, and a share of heads and of answers without news.
-	const mostPerJob = 400
-	if each := (total(many) - total(few)) / 140 / poolJobs; each > mostPerJob {
-		t.Errorf("one more instance reads %d bytes for each job; %v, %v", each, few, many)
+	// Two or three state records of about 60 bytes, and a share of the heartbeats and of the
+	// answers without records.
+	const maxPerJob = 400
+	if perInstance := (total(many) - total(few)) / 140 / poolJobs; perInstance > maxPerJob {
+		t.Errorf("each additional instance reads %d bytes per job; %v, %v", perInstance, few, many)
 	}
-	// Plans and acceptances are read by as many as before, but for single looks.
+	// The number of instances that read plans and acceptances is the same, except for catch-ups.
 	for _, topic := range []Topic{Plans, Jobs} {
 		if many[topic] > 2*few[topic] {
-			t.Errorf("%s: %d bytes at 10 instances, %d at 150", topic, few[topic], many[topic])
+			t.Errorf("%s: %d bytes read by 10 instances, %d by 150", topic, few[topic], many[topic])
 		}
 	}
-	const mostCalls = 3
-	if each := float64(manyCalls-fewCalls) / 140 / (poolJobs * 0.1); each > mostCalls {
-		t.Errorf("one more instance makes %.1f calls a second", each)
+	const maxCalls = 3
+	if perInstance := float64(manyCalls-fewCalls) / 140 / (poolJobs * 0.1); perInstance > maxCalls {
+		t.Errorf("each additional instance makes %.1f calls a second", perInstance)
 	}
 }
 
-// Any number of instances may be lost at once, those who stand by first: work goes
-// on, nothing runs twice, and one plans in the end.
-func TestWorkGoesOnWhenAllWhoStandByAreLost(t *testing.T) {
+// Guards against a pool that stops, plans twice or runs tasks twice when many instances are lost
+// at once, including all standbys.
+func TestWorkContinuesWhenAllStandbysAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(t, 60, 40)
 		defer p.stopAll()
-		time.Sleep(poolWarm)
-		p.load(0, 10, 100*time.Millisecond)
-		lost := p.readers()
+		time.Sleep(poolWarmup)
+		p.submitAndMeasureAge(0, 10, 100*time.Millisecond)
+		lost := p.plansReaders()
 		if len(lost) != 5 {
-			t.Fatalf("%d stand by", len(lost))
+			t.Fatalf("%d standbys, want 5", len(lost))
 		}
-		var left []*poolInstance
+		var remaining []*poolInstance
 		for _, i := range p.instances {
 			if slices.Contains(lost, i) {
 				go i.stop()
 			} else {
-				left = append(left, i)
+				remaining = append(remaining, i)
 			}
 		}
-		p.instances = left
+		p.instances = remaining
 		began := time.Now()
-		p.load(100, 10, 100*time.Millisecond)
+		p.submitAndMeasureAge(100, 10, 100*time.Millisecond)
 		for len(p.planners()) == 0 {
 			time.Sleep(50 * time.Millisecond)
 			if time.Since(began) > 10*time.Second {
-				t.Fatal("nobody plans")
+				t.Fatal("no instance plans")
 			}
 		}
-		// The first wave is as many as stood by.
-		if n := len(p.readers()); n > 10 {
-			t.Errorf("%d instances read the plans when one had claimed", n)
+		// The first activation wave is as large as the set of standbys.
+		if n := len(p.plansReaders()); n > 10 {
+			t.Errorf("%d instances read the plans when one had claimed the role", n)
 		}
-		p.waitFor(p.jobs, 30*time.Second)
-		if len(p.workers.twice) > 0 {
-			t.Errorf("tasks began twice: %v", p.workers.twice)
+		p.awaitCompleted(p.jobs, 30*time.Second)
+		if len(p.workers.duplicates) > 0 {
+			t.Errorf("tasks began twice: %v", p.workers.duplicates)
 		}
 		time.Sleep(2 * standbyLinger * 1600 * time.Millisecond)
 		if n := len(p.planners()); n != 1 {
-			t.Errorf("%d plan", n)
+			t.Errorf("%d instances plan", n)
 		}
 	})
 }
 
-// A job that nobody has stated yet is known to an instance that follows nothing
-// but the states, and one that nobody handed in is denied.
-func TestAJobIsKnownBeforeItIsStated(t *testing.T) {
+// Guards against not-found for a job whose state has not been published yet, at an instance that
+// follows only the states. For a job that was never submitted it returns not-found.
+func TestJobIsFoundBeforeItsStateIsPublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(t, 20, 10)
 		defer p.stopAll()
-		time.Sleep(poolWarm)
+		time.Sleep(poolWarmup)
 		for i := range 10 {
 			at, other := p.instances[i], p.instances[19-i]
 			p.submit(i, at)
 			state, err := p.state(other, p.jobs[i].ID)
 			if err != nil {
-				t.Fatalf("%s does not know what %s has just accepted: %v", other.name, at.name, err)
+				t.Fatalf("%s does not find a job that %s has just accepted: %v", other.name, at.name, err)
 			}
 			if state == workload.Failed || state == workload.Cancelled {
-				t.Fatalf("shown as %s", state)
+				t.Fatalf("the job is shown as %s", state)
 			}
 			if _, err := p.state(other, workload.JobID(fmt.Sprintf("%016x", 1000+i))); domain.AsRefusal(err).Reason != domain.ReasonNotFound {
-				t.Fatalf("a job that nobody handed in: %v", err)
+				t.Fatalf("the query for a job that was never submitted returned %v", err)
 			}
 		}
-		p.waitFor(p.jobs, 20*time.Second)
+		p.awaitCompleted(p.jobs, 20*time.Second)
 	})
 }
 
-// A caller that asks right after a job's last task has ended, at any instance, is told
-// that it has: its end is on its way from the worker over the planner to the states.
-func TestAnEndIsShownToWhoeverAsksRightAfterIt(t *testing.T) {
+// Guards against showing a job as running to a caller that queries any instance right after the
+// last task has ended, while the end is being passed from the worker through the planner to the
+// states.
+func TestEndIsShownToCallersRightAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(t, 20, 10)
 		defer p.stopAll()
-		time.Sleep(poolWarm)
+		time.Sleep(poolWarmup)
 		p.submit(1, p.instances[3])
 		for ended := false; !ended; time.Sleep(5 * time.Millisecond) {
 			p.workers.mu.Lock()
 			p.workers.fleet.Advance(time.Now())
-			ended = len(p.workers.done) == poolTasks
+			ended = len(p.workers.done) == poolTasksPerJob
 			p.workers.mu.Unlock()
 		}
 		for _, at := range []*poolInstance{p.instances[1], p.instances[17]} {
@@ -192,18 +196,18 @@
 	})
 }
 
-// Whoever asks for a job that goes on is held up for a moment only, and not at all
-// where there is no time for it.
-func TestACallerIsNotHeldUpByAJobThatGoesOn(t *testing.T) {
+// Guards against long delays of queries for a running job: they are delayed for a moment only,
+// and not at all if their deadline is too near.
+func TestCallerIsNotDelayedByARunningJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(t, 20, 10)
 		defer p.stopAll()
-		time.Sleep(poolWarm)
+		time.Sleep(poolWarmup)
 		p.submit(1, p.instances[3])
-		time.Sleep(poolRun / 3)
-		ask := func(has time.Duration) (time.Duration, workload.State) {
+		time.Sleep(poolTaskTime / 3)
+		query := func(timeout time.Duration) (time.Duration, workload.State) {
 			began := time.Now()
-			ctx, cancel := context.WithTimeout(context.Background(), has)
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			state, err := p.instances[17].State(ctx, p.jobs[0].ID)
 			if err != nil {
@@ -211,30 +215,31 @@
 			}
 			return time.Since(began), state
 		}
-		if took, state := ask(3 * time.Second); took > 500*time.Millisecond || state != workload.Running {
-			t.Fatalf("%s after %v", state, took)
+		if took, state := query(3 * time.Second); took > 500*time.Millisecond || state != workload.Running {
+			t.Fatalf("the job is shown as %s after %v", state, took)
 		}
-		if took, _ := ask(100 * time.Millisecond); took > 50*time.Millisecond {
-			t.Fatalf("held up for %v of 100 ms", took)
+		if took, _ := query(100 * time.Millisecond); took > 50*time.Millisecond {
+			t.Fatalf("delayed for %v of 100 ms", took)
 		}
 	})
 }
 
-// Jobs are spread over topics by their id, and every instance finds each of them where
-// it is looked for, also while a home topic refuses.
-func TestEveryJobIsFoundWhereItIsLookedFor(t *testing.T) {
-	for _, homes := range []int{0, 1, 2, 6} {
-		t.Run(fmt.Sprint(homes), func(t *testing.T) {
+// Guards against jobs that other instances don't find. Jobs are distributed over topics by a hash
+// of their ID, and each job is in one of the two topics that are searched for it, also while its
+// home topic refuses appends.
+func TestEveryJobIsFoundInItsAcceptanceTopics(t *testing.T) {
+	for _, homeTopics := range []int{0, 1, 2, 6} {
+		t.Run(fmt.Sprint(homeTopics), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				log := newShared(poolRate)
-				writer := New(Settings{Instance: "a", AcceptHomes: homes, Stale: time.Second}, log, poolDecoder{}, nil, nil, nil)
-				reader := New(Settings{Instance: "b", AcceptHomes: homes, Stale: time.Second}, log, poolDecoder{}, nil, nil, nil)
+				log := newSharedLog(poolReadRate)
+				writer := New(Settings{Instance: "a", AcceptHomes: homeTopics, Stale: time.Second}, log, poolDecoder{}, nil, nil, nil)
+				reader := New(Settings{Instance: "b", AcceptHomes: homeTopics, Stale: time.Second}, log, poolDecoder{}, nil, nil, nil)
 				ctx, cancel := context.WithCancel(context.Background())
 				var group sync.WaitGroup
 				group.Go(func() { writer.acceptances.run(ctx) })
 				defer func() { cancel(); group.Wait() }()
 				for _, c := range writer.acceptances.committers[:1] {
-					// Its home has refused: its jobs go to the next topic.
+					// The home topic has refused an append, so its jobs go to the next topic.
 					c.otherFirst.Store(true)
 				}
 				used := map[Topic]bool{}
@@ -248,17 +253,17 @@
 						t.Fatal(err)
 					}
 					if _, known := reader.book.Get(id); !known {
-						t.Fatalf("job %d is not found", i)
+						t.Fatalf("job %d was not found", i)
 					}
 				}
 				for topic, part := range log.topics {
 					used[topic] = len(part.records) > 0
-					if n := len(part.records); homes > 2 && n > 45 {
+					if n := len(part.records); homeTopics > 2 && n > 45 {
 						t.Errorf("%d of 60 jobs are in %s", n, topic)
 					}
 				}
-				if homes > 1 && len(used) < homes {
-					t.Errorf("%d topics of %d are used", len(used), homes)
+				if homeTopics > 1 && len(used) < homeTopics {
+					t.Errorf("%d of %d topics are used", len(used), homeTopics)
 				}
 			})
 		})
--- a/workload/service/standby_test.go
+++ b/workload/service/standby_test.go
@@ -9,24 +9,25 @@
 	"pgregory.net/rapid"
 )
 
-// However many instances there are, those that begin to read after a silence are
-// at most as many again as read already, and all have begun after some patiences.
-func TestThoseWhoWakeAreBoundedByWaves(t *testing.T) {
+// Guards against too many instances that start to read at once after a silence, and against ones
+// that never start. Whatever the number of instances, each wave at most doubles the number of
+// readers, and all instances read after a few planner timeouts.
+func TestActivationWavesBoundTheNumberOfReaders(t *testing.T) {
 	const standbys = 5
 	for _, instances := range []int{6, 30, 147, 300, 1000} {
 		now := time.Unix(1000, 0)
 		reading := standbys
-		for at := time.Duration(0); at < 10*patience; at += standbyInterval {
+		for at := time.Duration(0); at < 10*testPlannerTimeout; at += standbyInterval {
 			count := 0
-			for place := range instances {
-				s := newStandby(standbys, patience, now)
-				s.setRank(place)
+			for rank := range instances {
+				s := newStandby(standbys, testPlannerTimeout, now)
+				s.setRank(rank)
 				if s.shouldRead(now.Add(at)) {
 					count++
 				}
 			}
 			if count > 2*max(reading, standbys) {
-				t.Fatalf("%d of %d instances read, %d a moment before", count, instances, reading)
+				t.Fatalf("%d of %d instances read, one check after %d", count, instances, reading)
 			}
 			reading = count
 		}
@@ -36,36 +37,39 @@
 	}
 }
 
-func TestAnInstanceThatIsNotNeededReadsNothingOfThePlans(t *testing.T) {
+// Guards against instances that read the plans although they are not needed, that don't read them
+// although there is no sign of a planner, and that stop reading at the first such sign.
+func TestInstanceThatIsNotNeededDoesNotReadPlans(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newStandby(5, patience, now)
-	if s.shouldRead(now.Add(activateAfter * patience)) {
-		t.Fatal("reads before it knows its place, and before any silence")
+	s := newStandby(5, testPlannerTimeout, now)
+	if s.shouldRead(now.Add(activateAfter * testPlannerTimeout)) {
+		t.Fatal("reads although it does not know its rank and there was no silence")
 	}
 	s.setRank(9)
 	for range 10 {
-		now = now.Add(patience)
+		now = now.Add(testPlannerTimeout)
 		s.resetSilence(now)
-		if s.shouldRead(now.Add(patience)) {
-			t.Fatal("reads while a planner is heard")
+		if s.shouldRead(now.Add(testPlannerTimeout)) {
+			t.Fatal("reads although there are signs of a planner")
 		}
 	}
-	later := now.Add(4 * patience)
+	later := now.Add(4 * testPlannerTimeout)
 	if !s.shouldRead(later) {
-		t.Fatal("does not read though no planner is heard")
+		t.Fatal("does not read although there is no sign of a planner")
 	}
 	s.resetSilence(later)
-	if !s.shouldRead(later.Add(patience)) {
+	if !s.shouldRead(later.Add(testPlannerTimeout)) {
 		t.Fatal("stops reading at the first sign of a planner")
 	}
-	later = later.Add((standbyLinger + 1) * patience)
+	later = later.Add((standbyLinger + 1) * testPlannerTimeout)
 	s.resetSilence(later)
 	if s.shouldRead(later) {
-		t.Fatal("reads on though it is not needed")
+		t.Fatal("keeps reading although it is not needed")
 	}
 }
 
-// Standbys are the strongest, and of equals one of each data centre first.
+// Guards against standbys that are all lost with one data centre: the most powerful instances come
+// first, and among equals one of each data centre.
 func TestStandbysAreSpreadOverDataCentres(t *testing.T) {
 	all := map[string]member{}
 	for i := range 15 {
@@ -77,23 +81,24 @@
 	seen := map[string]bool{}
 	for _, name := range orderCandidates(all)[:5] {
 		if all[name].Power < 0.8 {
-			t.Fatalf("%s stands by before stronger ones", name)
+			t.Fatalf("%s is a standby before more powerful instances", name)
 		}
 		seen[all[name].DataCentre] = true
 	}
 	if len(seen) != 5 {
-		t.Fatalf("five standbys are in %d of five data centres", len(seen))
+		t.Fatalf("the five standbys are in %d of five data centres", len(seen))
 	}
 }
 
-// All instances that know the same members agree on the order.
+// Guards against two instances with the same rank: all instances that know the same members agree
+// on their order.
 func TestInstancesAgreeOnTheOrderOfCandidates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := map[string]member{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "instances") {
 			all[fmt.Sprint(i)] = member{Power: float64(rapid.IntRange(1, 3).Draw(t, "power")), DataCentre: fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "centre"))}
 		}
-		places := map[int]bool{}
+		ranks := map[int]bool{}
 		for name := range all {
 			m := &members{self: name, own: all[name], others: map[string]member{}}
 			for other, of := range all {
@@ -101,17 +106,18 @@
 					m.others[other] = of
 				}
 			}
-			m.changed = func(_ []string, place int) { places[place] = true }
+			m.changed = func(_ []string, rank int) { ranks[rank] = true }
 			m.notifyChanged()
 		}
-		if len(places) != len(all) {
-			t.Fatalf("%d places for %d instances", len(places), len(all))
+		if len(ranks) != len(all) {
+			t.Fatalf("%d different ranks for %d instances", len(ranks), len(all))
 		}
 	})
 }
 
-// A strong instance turns to strong ones, a weak one to those behind it.
-func TestCallsAreHandedToInstancesOfTheSameKind(t *testing.T) {
+// Guards against calls that powerful instances forward to weak ones, and the other way round. A
+// powerful instance starts with the other powerful ones, a weak one with those ranked after it.
+func TestCallsAreForwardedToInstancesOfSimilarPower(t *testing.T) {
 	all := map[string]member{}
 	for i := range 5 {
 		all[fmt.Sprintf("strong-%d", i)] = member{Address: fmt.Sprintf("strong-%d", i), Power: 0.8}
@@ -130,12 +136,12 @@
 		return out
 	}
 	if first := peersOf("strong-2")[:4]; !slices.Equal(first, []string{"strong-0", "strong-1", "strong-3", "strong-4"}) {
-		t.Fatalf("a strong one turns to %v", first)
+		t.Fatalf("a powerful instance forwards to %v first", first)
 	}
 	if first := peersOf("weak-07")[:2]; !slices.Equal(first, []string{"weak-08", "weak-09"}) {
-		t.Fatalf("a weak one turns to %v", first)
+		t.Fatalf("a weak instance forwards to %v first", first)
 	}
 	if got := peersOf("weak-07"); len(got) != 44 {
-		t.Fatalf("%d peers of 44", len(got))
+		t.Fatalf("%d of 44 peers", len(got))
 	}
 }
--- a/workload/service/suspension_test.go
+++ b/workload/service/suspension_test.go
@@ -9,66 +9,68 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// suspensions watches what a planner does after it was suspended.
-type suspensions struct {
+// suspensionMonitor observes the orders of planners after suspensions.
+type suspensionMonitor struct {
 	mu sync.Mutex
-	// at is when each planner was last suspended, by its token; confirmed tells that it has
-	// written since.
-	at        map[int64]time.Time
-	confirmed map[int64]bool
-	// early counts the orders that went out before.
-	early, orders int
+	// suspendedAt is when each planner was last suspended, by its token; hasWritten is set once
+	// the log has processed an append that it sent since.
+	suspendedAt map[int64]time.Time
+	hasWritten  map[int64]bool
+	// earlyOrders counts the orders that a suspended planner sent before such an append.
+	earlyOrders, orders int
 }
 
-func watchSuspended(p *pool) *suspensions {
-	s := &suspensions{at: map[int64]time.Time{}, confirmed: map[int64]bool{}}
+// monitorSuspensions returns a monitor of the planners of a pool.
+func monitorSuspensions(p *pool) *suspensionMonitor {
+	s := &suspensionMonitor{suspendedAt: map[int64]time.Time{}, hasWritten: map[int64]bool{}}
 	p.log.mu.Lock()
 	defer p.log.mu.Unlock()
 	p.workers.mu.Lock()
 	defer p.workers.mu.Unlock()
-	p.log.appended = func(epoch int64, sent time.Time) {
+	p.log.onAppend = func(epoch int64, sent time.Time) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !sent.Before(s.at[epoch]) {
-			s.confirmed[epoch] = true
+		if !sent.Before(s.suspendedAt[epoch]) {
+			s.hasWritten[epoch] = true
 		}
 	}
-	p.workers.ordered = func(order int64) {
+	p.workers.onOrder = func(order int64) {
 		token := control.Claim(order)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.orders++
-		if !s.at[token].IsZero() && !s.confirmed[token] {
-			s.early++
+		if !s.suspendedAt[token].IsZero() && !s.hasWritten[token] {
+			s.earlyOrders++
 		}
 	}
 	return s
 }
 
-// suspend lets the planner's clock of ages run on, as in a suspension; its timers stand.
-func (s *suspensions) suspend(p *pool, lasts time.Duration, counted bool) {
+// suspend simulates a suspension of the planner: its clock of ages advances, its timers don't.
+// With advanceClock unset, that clock stops as well, as the runtime's clock does.
+func (s *suspensionMonitor) suspend(p *pool, duration time.Duration, advanceClock bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range p.planners() {
-		token, _ := one.succession.heldToken()
-		s.at[token], s.confirmed[token] = time.Now(), false
-		if counted {
-			one.ahead.Add(int64(lasts))
+	for _, instance := range p.planners() {
+		token, _ := instance.succession.heldToken()
+		s.suspendedAt[token], s.hasWritten[token] = time.Now(), false
+		if advanceClock {
+			instance.clockOffset.Add(int64(duration))
 		}
 	}
 }
 
-// playSuspensions hands jobs in and suspends whoever plans now and then, for longer than
-// a planner may give orders after its last write.
-func playSuspensions(t *testing.T, counted bool) *suspensions {
+// runWithSuspensions submits jobs and suspends the planner now and then, for longer than it may
+// give orders after its last write.
+func runWithSuspensions(t *testing.T, advanceClock bool) *suspensionMonitor {
 	p := newPool(t, 3, 20)
 	defer p.stopAll()
 	time.Sleep(5 * time.Second)
-	s := watchSuspended(p)
+	s := monitorSuspensions(p)
 	for i := range 100 {
-		p.submitAnyhow(i, p.instances[i%3])
+		p.trySubmit(i, p.instances[i%3])
 		if i%5 == 4 {
-			s.suspend(p, 7*time.Second, counted)
+			s.suspend(p, 7*time.Second, advanceClock)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -76,43 +78,44 @@
 	return s
 }
 
-// A planner that wakes after a suspension may have been succeeded meanwhile. It gives no
-// order before a write of its own has shown that it was not. By the runtime's clock, which
-// stands still in a suspension, it goes on as if nothing had happened.
-func TestASuspendedPlannerOrdersNothingBeforeItHasWritten(t *testing.T) {
+// Guards against orders of a planner that was succeeded during a suspension: after it, a planner
+// gives no order before one of its writes has succeeded. The second run shows that the test
+// detects the fault: with the runtime's clock, which stops during a suspension, the planner
+// continues at once.
+func TestSuspendedPlannerSendsNoOrderBeforeItsNextWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := playSuspensions(t, true)
-		if s.early > 0 || s.orders == 0 {
-			t.Errorf("%d of %d orders went out before the planner had written", s.early, s.orders)
+		s := runWithSuspensions(t, true)
+		if s.earlyOrders > 0 || s.orders == 0 {
+			t.Errorf("%d of %d orders were sent before the planner had written", s.earlyOrders, s.orders)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		s := playSuspensions(t, false)
-		if s.early == 0 {
-			t.Errorf("a clock that stands still is not caught in %d orders", s.orders)
+		s := runWithSuspensions(t, false)
+		if s.earlyOrders == 0 {
+			t.Errorf("a clock that stops during suspensions was not detected in %d orders", s.orders)
 		}
 	})
 }
 
-// What an instance had read before it was suspended is told to nobody.
-func TestASuspendedInstanceTellsNothingOfWhatItHadReadBefore(t *testing.T) {
+// Guards against answers from what an instance had read before it was suspended.
+func TestSuspendedInstanceDoesNotAnswerFromEarlierReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(t, 3, 20)
 		defer p.stopAll()
 		time.Sleep(5 * time.Second)
-		for _, one := range p.instances {
-			if !one.Ready() {
-				t.Fatalf("%s is not ready", one.name)
+		for _, instance := range p.instances {
+			if !instance.Ready() {
+				t.Fatalf("%s is not ready", instance.name)
 			}
-			one.ahead.Add(int64(5 * time.Second))
-			if err := one.CheckCurrent(); err == nil || one.Ready() {
-				t.Errorf("%s (planning %t) answers from what it had read before it was suspended", one.name, one.planning.Load())
+			instance.clockOffset.Add(int64(5 * time.Second))
+			if err := instance.CheckCurrent(); err == nil || instance.Ready() {
+				t.Errorf("%s (planning %t) answers from what it had read before it was suspended", instance.name, instance.planning.Load())
 			}
 		}
 		time.Sleep(2 * time.Second)
-		for _, one := range p.instances {
-			if !one.Ready() {
-				t.Errorf("%s is not ready again after 2 s", one.name)
+		for _, instance := range p.instances {
+			if !instance.Ready() {
+				t.Errorf("%s is not ready again after 2 s", instance.name)
 			}
 		}
 	})
--- a/workload/service/term_test.go
+++ b/workload/service/term_test.go
@@ -12,74 +12,75 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// claimLog hands claims to a function before they are made; what it returns says whether the
-// answer is lost.
+// claimLog calls a function before each claim, which returns whether the answer to the claim is
+// lost.
 type claimLog struct {
-	*shared
-	late sync.WaitGroup
+	*sharedLog
+	background sync.WaitGroup
 
-	guard   sync.Mutex
-	claimed func() (lost bool)
-	// slow is what reads of acceptances take beyond the others.
-	slow time.Duration
-	// blocked tells that a planner's other appends have no answer and are not done.
+	claimMu sync.Mutex
+	onClaim func() (lost bool)
+	// acceptanceDelay is the additional duration of snapshot reads of acceptances.
+	acceptanceDelay time.Duration
+	// blocked is set while a planner's other appends are neither answered nor carried out.
 	blocked bool
 }
 
-// atClaim has a function called at each claim from here on.
-func (l *claimLog) atClaim(f func() (lost bool)) {
-	l.guard.Lock()
-	defer l.guard.Unlock()
-	l.claimed = f
+// setOnClaim sets the function that is called before each claim.
+func (l *claimLog) setOnClaim(f func() (lost bool)) {
+	l.claimMu.Lock()
+	defer l.claimMu.Unlock()
+	l.onClaim = f
 }
 
-// unblock lets appends through again.
+// unblock ends the blocking of appends.
 func (l *claimLog) unblock() {
-	l.guard.Lock()
-	defer l.guard.Unlock()
+	l.claimMu.Lock()
+	defer l.claimMu.Unlock()
 	l.blocked = false
 }
 
-func (l *claimLog) slowAcceptances(d time.Duration) {
-	l.guard.Lock()
-	defer l.guard.Unlock()
-	l.slow = d
+func (l *claimLog) delayAcceptances(d time.Duration) {
+	l.claimMu.Lock()
+	defer l.claimMu.Unlock()
+	l.acceptanceDelay = d
 }
 
 func (l *claimLog) Append(ctx context.Context, topic Topic, records []control.Record, writer *Writer) (int64, error) {
-	l.guard.Lock()
-	claimed, blocked := l.claimed, l.blocked
-	l.guard.Unlock()
+	l.claimMu.Lock()
+	onClaim, blocked := l.onClaim, l.blocked
+	l.claimMu.Unlock()
 	if blocked && writer != nil && writer.Expect < 0 {
-		await(ctx, silence)
+		await(ctx, unansweredTimeout)
 		return 0, ErrUnknown
 	}
-	if writer == nil || writer.Expect < 0 || claimed == nil || !claimed() {
-		return l.shared.Append(ctx, topic, records, writer)
+	if writer == nil || writer.Expect < 0 || onClaim == nil || !onClaim() {
+		return l.sharedLog.Append(ctx, topic, records, writer)
 	}
-	one := *writer
-	l.late.Go(func() {
-		time.Sleep(lateClaim)
-		_, _ = l.shared.Append(context.Background(), topic, records, &one)
+	lateWriter := *writer
+	l.background.Go(func() {
+		time.Sleep(lateClaimDelay)
+		_, _ = l.sharedLog.Append(context.Background(), topic, records, &lateWriter)
 	})
 	return 0, ErrUnknown
 }
 
-// lateClaim is how long after its call a claim without an answer is carried out.
-const lateClaim = time.Second
+// lateClaimDelay is how long after its call an unanswered claim is carried out.
+const lateClaimDelay = time.Second
 
 func (l *claimLog) Newest(ctx context.Context, topic Topic, after string) (NewestPage, error) {
-	l.guard.Lock()
-	slow := l.slow
-	l.guard.Unlock()
+	l.claimMu.Lock()
+	delay := l.acceptanceDelay
+	l.claimMu.Unlock()
 	if isAcceptTopic(topic) {
-		time.Sleep(slow)
+		time.Sleep(delay)
 	}
-	return l.shared.Newest(ctx, topic, after)
+	return l.sharedLog.Newest(ctx, topic, after)
 }
 
-// termPool is a pool of two instances, of which only the first stands by. It has planned and
-// is lost while jobs are at work, so that the second wakes and claims the role.
+// termPool is a pool of two instances, of which only the first is a standby. The first one plans
+// and is stopped while jobs are running, so that the second starts to read the plans and claims
+// the role.
 type termPool struct {
 	*pool
 	log    *claimLog
@@ -88,14 +89,14 @@
 
 func newTermPool(t *testing.T) *termPool {
 	p := newPool(t, 0, 40)
-	out := &termPool{pool: p, log: &claimLog{shared: p.log}}
+	out := &termPool{pool: p, log: &claimLog{sharedLog: p.log}}
 	for _, name := range []string{"edge-0", "edge-1"} {
 		settings := poolSettings(name, 0.1, "0")
 		settings.Standbys = 1
-		p.begin(settings, out.log, p.workers, nil)
+		p.startInstance(settings, out.log, p.workers, nil)
 	}
 	out.second = p.instances[1]
-	time.Sleep(poolWarm)
+	time.Sleep(poolWarmup)
 	for i := range 20 {
 		p.submit(i, p.instances[0])
 	}
@@ -103,110 +104,111 @@
 	return out
 }
 
-// unneeded has the second instance taken for one that need not read the plans.
-func (p *termPool) unneeded(place int) {
+// setSecondRank sets the rank of the second instance and restarts the silence of its planner, so
+// that it stops to read the plans unless its rank makes it a standby.
+func (p *termPool) setSecondRank(rank int) {
 	b := p.second.standby
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rank, b.neededAt, b.silentSince = place, time.Time{}, time.Now()
+	b.rank, b.neededAt, b.silentSince = rank, time.Time{}, time.Now()
 }
 
-// losePlanner ends the first instance.
-func (p *termPool) losePlanner() {
+// stopFirst stops the first instance.
+func (p *termPool) stopFirst() {
 	p.instances[0].stop()
 	p.instances = p.instances[1:]
 }
 
-// check holds that everything is done, and that nothing began again.
-func (p *termPool) check() {
-	defer p.log.late.Wait()
-	p.waitFor(p.jobs, 20*time.Second)
+// checkJobs checks that all jobs complete and that no task ran twice.
+func (p *termPool) checkJobs() {
+	defer p.log.background.Wait()
+	p.awaitCompleted(p.jobs, 20*time.Second)
 	p.workers.mu.Lock()
 	defer p.workers.mu.Unlock()
-	if n := len(p.workers.twice); n > 0 {
-		p.t.Errorf("%d tasks began beside themselves or after they were done, %s first", n, p.workers.twice[0])
+	if n := len(p.workers.duplicates); n > 0 {
+		p.t.Errorf("%d tasks started while they were running or after they were done, the first is %s", n, p.workers.duplicates[0])
 	}
 }
 
-// Guards against work that begins again, or stands still for ever, under a planner whose book was
+// Guards against tasks that run again, or jobs that never continue, under a planner whose book was
 // emptied between its claim and the start of its term.
-func TestNobodyPlansFromABookThatWasEmptiedAfterItsClaim(t *testing.T) {
-	for name, again := range map[string]time.Duration{"and reads no more": 0, "and reads again": 600 * time.Millisecond} {
+func TestNoTermStartsFromABookThatWasEmptiedAfterTheClaim(t *testing.T) {
+	for name, resumeAfter := range map[string]time.Duration{"it stops reading": 0, "it stops and resumes reading": 600 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newTermPool(t)
 				defer p.stopAll()
-				p.log.atClaim(func() bool {
-					p.unneeded(9)
+				p.log.setOnClaim(func() bool {
+					p.setSecondRank(9)
 					time.Sleep(3 * standbyInterval)
-					if again > 0 {
-						p.log.late.Go(func() {
-							time.Sleep(again)
-							p.unneeded(0)
+					if resumeAfter > 0 {
+						p.log.background.Go(func() {
+							time.Sleep(resumeAfter)
+							p.setSecondRank(0)
 						})
 					}
 					return false
 				})
-				p.losePlanner()
-				p.check()
+				p.stopFirst()
+				p.checkJobs()
 			})
 		})
 	}
 }
 
-// Guards against a planner that begins on a claim that was carried out late, before it has
-// read what it has to know.
-func TestNobodyPlansOnALateClaimBeforeAllIsRead(t *testing.T) {
+// Guards against a planner that starts its term on a claim that was carried out late, before it
+// has read everything that it needs.
+func TestNoPlanningOnALateClaimBeforeEverythingIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTermPool(t)
 		defer p.stopAll()
 		claims := 0
-		p.log.atClaim(func() bool {
+		p.log.setOnClaim(func() bool {
 			if claims++; claims > 1 {
 				return false
 			}
-			p.log.slowAcceptances(time.Second)
-			p.unneeded(9)
-			p.log.late.Go(func() {
-				time.Sleep(lateClaim / 2)
-				p.unneeded(0)
+			p.log.delayAcceptances(time.Second)
+			p.setSecondRank(9)
+			p.log.background.Go(func() {
+				time.Sleep(lateClaimDelay / 2)
+				p.setSecondRank(0)
 			})
 			return true
 		})
-		p.losePlanner()
-		p.check()
+		p.stopFirst()
+		p.checkJobs()
 	})
 }
 
-// Guards against a planner that orders on a claim which was carried out late: it may have been
-// succeeded before it began.
-func TestALateClaimGivesNoAuthorityBeforeAWrite(t *testing.T) {
+// Guards against orders of a planner whose claim was carried out late: it may have been succeeded
+// before its term started.
+func TestLateClaimGivesNoAuthorityBeforeAWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(t, 0, 20)
 		defer p.stopAll()
-		log := &claimLog{shared: p.log, blocked: true}
-		defer log.late.Wait()
-		log.atClaim(func() bool { return true })
+		log := &claimLog{sharedLog: p.log, blocked: true}
+		defer log.background.Wait()
+		log.setOnClaim(func() bool { return true })
 		var orders atomic.Int64
-		p.workers.ordered = func(int64) { orders.Add(1) }
-		p.begin(poolSettings("edge-0", 0.1, "0"), log, p.workers, nil)
+		p.workers.onOrder = func(int64) { orders.Add(1) }
+		p.startInstance(poolSettings("edge-0", 0.1, "0"), log, p.workers, nil)
 		time.Sleep(8 * time.Second)
 		if len(p.planners()) != 1 {
-			t.Fatal("nobody plans on the late claim")
+			t.Fatal("no instance plans on the late claim")
 		}
 		if n := orders.Load(); n > 0 {
-			t.Errorf("%d orders went out before the planner had written", n)
+			t.Errorf("%d orders were sent before the planner had written", n)
 		}
 		log.unblock()
 		time.Sleep(time.Second)
 		if orders.Load() == 0 {
-			t.Error("no order went out after the planner had written")
+			t.Error("no order was sent after the planner had written")
 		}
 	})
 }
 
-// A job that has begun, and of which no progress was read, is not complete.
-func TestNobodyClaimsWhileProgressIsMissingOfAJobThatHasBegun(t *testing.T) {
+// Guards against a claim by an instance that has not read the progress of a started job.
+func TestNoClaimWhileProgressOfAStartedJobIsMissing(t *testing.T) {
 	b := workload.NewBook()
 	for _, record := range []struct{ key, value string }{
 		{workload.AcceptedKey("a"), `{"id":"a","queue":"q"}`},
@@ -217,18 +219,19 @@
 		}
 	}
 	if b.Complete() {
-		t.Fatal("a book without the progress of a job that has begun is complete")
+		t.Fatal("the book is complete without the progress of a started job")
 	}
 	if err := b.Fold(1, workload.ProgressKey("a"), []byte(`{"state":"running","begun":true}`)); err != nil {
 		t.Fatal(err)
 	}
 	if !b.Complete() {
-		t.Fatal("a book with all progress is not complete")
+		t.Fatal("the book is not complete although it has all progress")
 	}
 }
 
-// A record that can't be read is not waited for: nobody would ever claim.
-func TestAnUnreadableRecordHoldsNoClaimUp(t *testing.T) {
+// Guards against a role that stays vacant because every candidate waits for a record that can't be
+// decoded.
+func TestUnreadableRecordDoesNotBlockClaims(t *testing.T) {
 	b := workload.NewBook()
 	for offset, record := range []struct{ key, value string }{
 		{workload.AcceptedKey("a"), "{"},
@@ -240,85 +243,87 @@
 		_ = b.Fold(int64(offset), record.key, []byte(record.value))
 	}
 	if !b.Complete() {
-		t.Fatal("a book waits for records that were read and are unreadable")
+		t.Fatal("the book waits for records that were read and can't be decoded")
 	}
 }
 
-// An instance that reads the log answers its callers, also before the first write of its term.
-func TestALateClaimDoesNotStopAnswers(t *testing.T) {
+// Guards against an instance that refuses its callers before the first write of its term, although
+// it reads the log.
+func TestLateClaimDoesNotStopAnswersToCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(t, 0, 20)
 		defer p.stopAll()
-		log := &claimLog{shared: p.log, blocked: true}
-		defer log.late.Wait()
-		log.atClaim(func() bool { return true })
-		p.begin(poolSettings("edge-0", 0.1, "0"), log, p.workers, nil)
-		one := p.instances[0]
-		for !one.planning.Load() {
+		log := &claimLog{sharedLog: p.log, blocked: true}
+		defer log.background.Wait()
+		log.setOnClaim(func() bool { return true })
+		p.startInstance(poolSettings("edge-0", 0.1, "0"), log, p.workers, nil)
+		instance := p.instances[0]
+		for !instance.planning.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if age := one.states.age(time.Now()); age > one.settings.Stale {
+		if age := instance.states.age(time.Now()); age > instance.settings.Stale {
 			t.Fatalf("the states were read %v ago", age)
 		}
-		if err := one.CheckCurrent(); err != nil {
+		if err := instance.CheckCurrent(); err != nil {
 			t.Errorf("an instance that has just read the log refuses its callers: %v", err)
 		}
 		log.unblock()
 	})
 }
 
-// watchTerms looks at an instance until the test ends and returns how often it planned although
-// it did not know all that a planner takes over.
-func watchTerms(p *termPool) (blind func() int) {
-	n, begun := 0, false
-	p.log.late.Go(func() {
+// countUnreadyTerms observes the second instance for 20 s and counts the terms that it starts
+// before it has read everything that a planner adopts.
+func countUnreadyTerms(p *termPool) (unready func() int) {
+	n, wasPlanning := 0, false
+	p.log.background.Go(func() {
 		for range 20_000 {
 			time.Sleep(time.Millisecond)
-			now := p.second.planning.Load()
-			if now && !begun && !p.second.caughtUp() {
+			isPlanning := p.second.planning.Load()
+			if isPlanning && !wasPlanning && !p.second.caughtUp() {
 				n++
 			}
-			begun = now
+			wasPlanning = isPlanning
 		}
 	})
 	return func() int { return n }
 }
 
-// The scene of TestNobodyPlansOnALateClaimBeforeAllIsRead, held against when the term begins.
-func TestALateTermBeginsOnlyOnceAllIsRead(t *testing.T) {
+// Guards against the same fault as TestNoPlanningOnALateClaimBeforeEverythingIsRead, in the same
+// situation, by the time at which the term starts.
+func TestLateTermStartsOnlyAfterEverythingIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTermPool(t)
 		defer p.stopAll()
-		blind := watchTerms(p)
+		unreadyTerms := countUnreadyTerms(p)
 		claims := 0
-		p.log.atClaim(func() bool {
+		p.log.setOnClaim(func() bool {
 			if claims++; claims > 1 {
 				return false
 			}
-			p.log.slowAcceptances(time.Second)
-			p.unneeded(9)
-			p.log.late.Go(func() {
-				time.Sleep(lateClaim / 2)
-				p.unneeded(0)
+			p.log.delayAcceptances(time.Second)
+			p.setSecondRank(9)
+			p.log.background.Go(func() {
+				time.Sleep(lateClaimDelay / 2)
+				p.setSecondRank(0)
 			})
 			return true
 		})
-		p.losePlanner()
-		p.log.late.Wait()
-		if n := blind(); n > 0 {
-			t.Errorf("%d terms began before all was read", n)
+		p.stopFirst()
+		p.log.background.Wait()
+		if n := unreadyTerms(); n > 0 {
+			t.Errorf("%d terms started before everything was read", n)
 		}
 	})
 }
 
-// What was read is kept while a claim is under way.
-func TestNothingIsLetGoWhileTheRoleIsClaimed(t *testing.T) {
+// Guards against an instance that discards what it has read during its claim.
+func TestReadRecordsAreKeptDuringAClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTermPool(t)
 		defer p.stopAll()
 		claims, kept := 0, 0
-		p.log.atClaim(func() bool {
-			p.unneeded(9)
+		p.log.setOnClaim(func() bool {
+			p.setSecondRank(9)
 			time.Sleep(3 * standbyInterval)
 			claims++
 			if p.second.caughtUp() {
@@ -326,18 +331,19 @@
 			}
 			return false
 		})
-		p.losePlanner()
-		p.check()
+		p.stopFirst()
+		p.checkJobs()
 		if claims == 0 || kept != claims {
-			t.Errorf("the book was current at the end of %d of %d claims", kept, claims)
+			t.Errorf("everything was still read at the end of %d of %d claims", kept, claims)
 		}
 	})
 }
 
-// A claim that stands beyond what was read of the plans begins no term.
-func TestAClaimBeyondWhatWasReadBeginsNoTerm(t *testing.T) {
+// Guards against a term that starts without the plans before the claim: the claim's offset is
+// beyond the one up to which the plans were read.
+func TestClaimBeyondTheReadOffsetStartsNoTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(poolSettings("edge-0", 1, "0"), newShared(poolRate), poolDecoder{}, nil, nil, nil)
+		s := New(poolSettings("edge-0", 1, "0"), newSharedLog(poolReadRate), poolDecoder{}, nil, nil, nil)
 		s.directory.Store(&Directory{})
 		for _, f := range s.planningTopics() {
 			f.setFollowing(true)
@@ -346,20 +352,21 @@
 			}
 		}
 		if !s.caughtUpTo(1) {
-			t.Fatal("a claim at the place that was read to is not read for")
+			t.Fatal("not caught up to a claim at the offset that was read to")
 		}
 		if s.caughtUpTo(6) {
-			t.Error("a claim five records beyond what was read is read for")
+			t.Error("caught up to a claim five records beyond the offset that was read to")
 		}
 	})
 }
 
-// When a claim was sent is known of an answered claim, and of that alone.
-func TestWhenAClaimWasSentIsKnownOfAnAnsweredClaimAlone(t *testing.T) {
+// Guards against a planner that takes the time at which it sent an unanswered claim for the start
+// of its authority.
+func TestSendTimeIsKnownOnlyForAnAnsweredClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(poolSettings("edge-0", 1, "0"), newShared(poolRate), poolDecoder{}, nil, nil, nil).succession
+		s := New(poolSettings("edge-0", 1, "0"), newSharedLog(poolReadRate), poolDecoder{}, nil, nil, nil).succession
 		began := time.Now()
-		if _, err := s.claim(t.Context(), newShared(poolRate), 0); err != nil {
+		if _, err := s.claim(t.Context(), newSharedLog(poolReadRate), 0); err != nil {
 			t.Fatal(err)
 		}
 		if got := s.claimSent(); !got.Equal(began) {
@@ -367,11 +374,11 @@
 		}
 		s.observe(Entry{Offset: 0, Key: claimKey, Value: s.self.record().Value}, time.Now())
 		if got := s.claimSent(); !got.Equal(began) {
-			t.Errorf("the answered claim, read once more, was sent at %v, want %v", got, began)
+			t.Errorf("the answered claim was sent at %v after it was read again, want %v", got, began)
 		}
 		s.observe(Entry{Offset: 7, Key: claimKey, Value: s.self.record().Value}, time.Now())
 		if got := s.claimSent(); !got.IsZero() {
-			t.Errorf("a claim that had no answer was sent at %v", got)
+			t.Errorf("the unanswered claim was sent at %v, want no time", got)
 		}
 	})
 }
--- a/workload/service/worker_list_test.go
+++ b/workload/service/worker_list_test.go
@@ -13,9 +13,9 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// listPlanner returns a planner that knows some workers, and their entries.
-func listPlanner(workers int) (*planner, []Entry) {
-	s := New(Settings{Instance: "a"}, &memory{}, poolDecoder{}, nil, events.New(io.Discard, events.Fields{}, nil), telemetry.New())
+// newListPlanner returns a planner that has read a list of workers, and the entries of the list.
+func newListPlanner(workers int) (*planner, []Entry) {
+	s := New(Settings{Instance: "a"}, &memoryLog{}, poolDecoder{}, nil, events.New(io.Discard, events.Fields{}, nil), telemetry.New())
 	p := &planner{s: s, core: control.New(control.Bounds{}, 1, time.Now()), listings: map[string]control.Listing{}, unreadable: map[string]string{}, changedListings: map[string]bool{}}
 	var entries []Entry
 	for i := range workers {
@@ -32,8 +32,8 @@
 	return p, entries
 }
 
-// unlisted counts the workers that the planner has taken for gone from the list.
-func unlisted(p *planner) int {
+// countUnlisted counts the workers that the core has noted as unlisted.
+func countUnlisted(p *planner) int {
 	n := 0
 	for _, note := range p.core.Notes() {
 		if note.Event == control.EventWorkerUnlisted {
@@ -43,9 +43,10 @@
 	return n
 }
 
-// A part of the list of workers says nothing of those that are not in it.
-func TestNoWorkerIsUnlistedWhileTheListIsReadAnew(t *testing.T) {
-	p, entries := listPlanner(2000)
+// Guards against workers that are taken for unlisted because they are missing from the part of
+// the list that was read so far.
+func TestNoWorkerIsUnlistedWhileTheListIsReloaded(t *testing.T) {
+	p, entries := newListPlanner(2000)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -61,24 +62,25 @@
 		p.syncWorkers()
 		p.mu.Unlock()
 	}
-	if n := unlisted(p); n > 0 {
-		t.Errorf("%d workers were unlisted, and all are listed", n)
+	if n := countUnlisted(p); n > 0 {
+		t.Errorf("%d workers were unlisted although all are in the list", n)
 	}
 }
 
-// A worker whose entry can't be read is not gone from the list, also where the list is read anew.
-func TestAWorkerWithAnUnreadableEntryStaysWhenTheListIsReadAnew(t *testing.T) {
-	p, entries := listPlanner(3)
-	anew := slices.Clone(entries)
-	anew[1].Value = []byte("{")
+// Guards against a worker that is taken for unlisted because its entry can't be decoded when the
+// list is reloaded.
+func TestWorkerWithAnUnreadableEntryStaysListedAfterAReload(t *testing.T) {
+	p, entries := newListPlanner(3)
+	reloaded := slices.Clone(entries)
+	reloaded[1].Value = []byte("{")
 	for range 2 {
-		p.applyList(anew)
+		p.applyList(reloaded)
 		p.syncWorkers()
 	}
-	if n := unlisted(p); n > 0 {
-		t.Errorf("%d workers were unlisted", n)
+	if n := countUnlisted(p); n > 0 {
+		t.Errorf("%d workers were unlisted, want none", n)
 	}
 	if known := p.listings[entries[1].Key]; !known.Unreadable || known.Address == "" {
-		t.Errorf("the worker is known as %+v", known)
+		t.Errorf("the listing of the worker is %+v", known)
 	}
 }
--- a/workload/service/world_test.go
+++ b/workload/service/world_test.go
@@ -21,43 +21,46 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// A world is a pool of whole instances, with their readers, claims and books, in virtual
-// time. Instances are lost, come back and are added, data centres are cut off, the log is
-// slow, away, loses answers and drops its history, and workers carry orders out late, while
-// jobs come. Held is what workers see: nothing runs twice, nothing that is done begins
-// again once its end was taken note of, and all that was accepted ends.
+// world is a pool of complete instances in virtual time. While jobs are submitted, instances
+// are killed, restarted and added, data centres are cut off, the log is slow or unavailable,
+// loses answers and drops its history, and workers execute orders late. The test checks what
+// the workers observe: no task runs twice at the same time, no task that is done starts again
+// once its end was acknowledged, and every accepted job ends.
 type world struct {
 	*pool
-	// rng draws the jobs and the troubles, fate what becomes of each call.
-	rng, fate *rand.Rand
+	// rng draws the jobs and the faults, callRNG the outcome of each call.
+	rng, callRNG *rand.Rand
 
 	mu sync.Mutex
-	// Until when a data centre reaches nothing outside of it; the log does not answer, or
-	// refuses, an instance; the log is down for all; answers of a worker are lost.
-	cut, deaf, refused, down, mute map[string]time.Time
-	// loses is until when appends are lost, late at the most how long after they are done.
-	loses time.Time
-	late  time.Duration
-	// slowOrders is until when orders are late, or lost.
-	slowOrders time.Time
-	// under are calls that are carried out later.
-	under sync.WaitGroup
-
-	// What workers saw, guarded by the pool's workers.
-	running  map[workload.TaskID]map[string]int64
-	ended    map[workload.TaskID]int64
-	noted    map[workload.TaskID]bool
-	again    map[worldRun]bool
-	problems []string
-	starts   int
-
-	steps map[workload.JobID][]workload.Step
-	names int
-	// standbys is how many instances follow the plans, pace how often troubles come.
-	standbys, pace int
-	lines          *bytes.Buffer
-	logs           []*events.Log
-	lock           sync.Mutex
+	// Each map holds the end of a fault: a data centre reaches nothing outside of it; the log
+	// does not answer an instance; the log refuses an instance; the log is down for all; the
+	// answers of a worker are lost.
+	cutOff, unanswered, refused, down, answersLost map[string]time.Time
+	// appendsLostUntil is the end of the time in which answers to appends are lost;
+	// maxAppendDelay limits how much later such an append is carried out.
+	appendsLostUntil time.Time
+	maxAppendDelay   time.Duration
+	// ordersLateUntil is the end of the time in which orders are late or lost.
+	ordersLateUntil time.Time
+	// background counts the calls that are carried out later.
+	background sync.WaitGroup
+
+	// What the workers observed, guarded by the mutex of the pool's workers.
+	running            map[workload.TaskID]map[string]int64
+	ended              map[workload.TaskID]int64
+	acknowledged       map[workload.TaskID]bool
+	restartedAfterDone map[worldRun]bool
+	violations         []string
+	starts             int
+
+	steps     map[workload.JobID][]workload.Step
+	nameCount int
+	// standbys is the number of instances that follow the plans. A fault is injected at every
+	// faultInterval-th step.
+	standbys, faultInterval int
+	output                  *bytes.Buffer
+	logs                    []*events.Log
+	outputMu                sync.Mutex
 }
 
 type worldRun struct {
@@ -66,11 +69,11 @@
 }
 
 const (
-	worldInstances = 6
-	worldWorkerN   = 12
-	worldCentres   = 3
-	worldLoad      = 22 * time.Second
-	worldRest      = 45 * time.Second
+	worldInstances   = 6
+	worldWorkerCount = 12
+	worldCentres     = 3
+	worldLoadTime    = 22 * time.Second
+	worldSettleTime  = 45 * time.Second
 )
 
 var worldBounds = control.Bounds{
@@ -80,18 +83,18 @@
 
 func newWorld(t *testing.T, seed int64) *world {
 	w := &world{
-		rng: rand.New(rand.NewSource(seed)), fate: rand.New(rand.NewSource(seed + 1)),
-		cut: map[string]time.Time{}, deaf: map[string]time.Time{}, refused: map[string]time.Time{}, down: map[string]time.Time{}, mute: map[string]time.Time{},
-		running: map[workload.TaskID]map[string]int64{}, ended: map[workload.TaskID]int64{}, noted: map[workload.TaskID]bool{}, again: map[worldRun]bool{},
-		steps: map[workload.JobID][]workload.Step{}, lines: &bytes.Buffer{},
+		rng: rand.New(rand.NewSource(seed)), callRNG: rand.New(rand.NewSource(seed + 1)),
+		cutOff: map[string]time.Time{}, unanswered: map[string]time.Time{}, refused: map[string]time.Time{}, down: map[string]time.Time{}, answersLost: map[string]time.Time{},
+		running: map[workload.TaskID]map[string]int64{}, ended: map[workload.TaskID]int64{}, acknowledged: map[workload.TaskID]bool{}, restartedAfterDone: map[worldRun]bool{},
+		steps: map[workload.JobID][]workload.Step{}, output: &bytes.Buffer{},
 	}
-	w.pool = &pool{t: t, log: newShared(poolRate), workers: &poolWorkers{}}
+	w.pool = &pool{t: t, log: newSharedLog(poolReadRate), workers: &poolWorkers{}}
 	w.workers.fleet = &workertest.Fleet{
 		Limits: workertest.Limits{HoldMax: worldBounds.Lease, StopTimeout: worldBounds.StopTimeout, GangTimeout: worldBounds.GangTimeout, CheckpointEvery: time.Second, Restore: worldBounds.Restore},
-		Step:   w.step, Work: w.work, Seen: w.see,
+		Step:   w.step, Work: w.work, Seen: w.observe,
 	}
 	capacity := workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}
-	for i := range worldWorkerN {
+	for i := range worldWorkerCount {
 		id := fmt.Sprintf("w%02d", i)
 		w.workers.fleet.Add(id, capacity, 1-0.02*w.rng.Float64(), time.Now())
 		value, err := json.Marshal(control.Listing{ID: id, Address: id, Service: "pool", DataCentre: worldCentre(i), Rack: fmt.Sprint(i / 4), Capacity: capacity})
@@ -101,97 +104,99 @@
 		w.put(WorkerList, id, value)
 	}
 	w.put(Declarations, "config", []byte("{}"))
-	w.standbys, w.pace = 1+w.rng.Intn(5), 1+w.rng.Intn(4)
+	w.standbys, w.faultInterval = 1+w.rng.Intn(5), 1+w.rng.Intn(4)
 	for range worldInstances {
-		w.add()
+		w.startNew()
 	}
 	return w
 }
 
 func worldCentre(i int) string { return fmt.Sprint("centre-", i%worldCentres) }
 
-// add begins an instance of a new name.
-func (w *world) add() {
+// startNew starts an instance with a new name.
+func (w *world) startNew() {
 	w.mu.Lock()
-	w.names++
-	n := w.names
+	w.nameCount++
+	n := w.nameCount
 	w.mu.Unlock()
-	w.revive(fmt.Sprintf("edge-%02d", n), worldCentre(n))
+	w.startNamed(fmt.Sprintf("edge-%02d", n), worldCentre(n))
 }
 
-// named is how many names were given to instances.
-func (w *world) named() int {
+// namesUsed returns the number of names that were given to instances.
+func (w *world) namesUsed() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.names
+	return w.nameCount
 }
 
-// Write keeps what an instance writes.
+// Write collects the log output of the instances.
 func (w *world) Write(line []byte) (int, error) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return w.lines.Write(line)
+	w.outputMu.Lock()
+	defer w.outputMu.Unlock()
+	return w.output.Write(line)
 }
 
-// revive begins an instance of a name.
-func (w *world) revive(name, centre string) {
-	lines := events.New(w, events.Fields{"instance": name}, nil)
+// startNamed starts an instance with the given name.
+func (w *world) startNamed(name, centre string) {
+	eventLog := events.New(w, events.Fields{"instance": name}, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.logs = append(w.logs, lines)
-	w.begin(Settings{
+	w.logs = append(w.logs, eventLog)
+	w.startInstance(Settings{
 		Instance: name, Address: name, Bounds: worldBounds, Patience: time.Second, Stale: 2 * time.Second, Stretch: 5 * time.Second,
 		Power: 0.4, DataCentre: centre, Standbys: w.standbys,
-	}, &worldLog{w, name, centre}, &worldWorkers{w, centre}, lines)
+	}, &worldLog{w, name, centre}, &worldWorkers{w, centre}, eventLog)
 }
 
-// is tells whether a trouble lasts.
-func (w *world) is(until map[string]time.Time, what string) bool {
+// isActive reports whether a fault is still active.
+func (w *world) isActive(until map[string]time.Time, key string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return time.Now().Before(until[what])
+	return time.Now().Before(until[key])
 }
 
-func (w *world) last(until map[string]time.Time, what string, d time.Duration) {
+// setFault makes a fault active for a time.
+func (w *world) setFault(until map[string]time.Time, key string, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	until[what] = time.Now().Add(d)
+	until[key] = time.Now().Add(d)
 }
 
-// append is what becomes of an append: whether its answer is lost, and how late it is done.
-func (w *world) append() (lost bool, after time.Duration) {
+// drawAppend draws the outcome of an append: whether its answer is lost, and how late it is
+// carried out.
+func (w *world) drawAppend() (lost bool, after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !time.Now().Before(w.loses) || w.fate.Intn(100) >= 35 {
+	if !time.Now().Before(w.appendsLostUntil) || w.callRNG.Intn(100) >= 35 {
 		return false, 0
 	}
-	return true, time.Duration(w.fate.Int63n(int64(w.late) + 1))
+	return true, time.Duration(w.callRNG.Int63n(int64(w.maxAppendDelay) + 1))
 }
 
-// order is what becomes of an order: whether it gets there and when, and whether its answer
-// comes back.
-func (w *world) order(centre, worker string) (there, answered bool, after time.Duration) {
+// drawOrder draws the outcome of an order: whether it is delivered and when, and whether its
+// answer is received.
+func (w *world) drawOrder(centre, worker string) (delivered, answered bool, after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	at := worldCentre(int(worker[1]-'0')*10 + int(worker[2]-'0'))
-	if centre != at && (now.Before(w.cut[centre]) || now.Before(w.cut[at])) {
+	workerCentre := worldCentre(int(worker[1]-'0')*10 + int(worker[2]-'0'))
+	if centre != workerCentre && (now.Before(w.cutOff[centre]) || now.Before(w.cutOff[workerCentre])) {
 		return false, false, 0
 	}
-	if now.Before(w.mute[worker]) {
+	if now.Before(w.answersLost[worker]) {
 		return true, false, time.Millisecond
 	}
-	if now.Before(w.slowOrders) {
-		switch w.fate.Intn(12) {
+	if now.Before(w.ordersLateUntil) {
+		switch w.callRNG.Intn(12) {
 		case 0:
-			return true, false, 2*time.Second + time.Duration(w.fate.Int63n(int64(10*time.Second)))
+			return true, false, 2*time.Second + time.Duration(w.callRNG.Int63n(int64(10*time.Second)))
 		case 1:
 			return true, false, time.Millisecond
 		case 2:
 			return false, false, 0
 		}
 	}
-	return true, true, time.Duration(1+w.fate.Intn(5)) * time.Millisecond
+	return true, true, time.Duration(1+w.callRNG.Intn(5)) * time.Millisecond
 }
 
 func (w *world) step(id workload.TaskID) (workload.Step, bool) {
@@ -202,7 +207,8 @@
 	return steps[id.Step], true
 }
 
-// work: a run's length and luck depend on the task and the run alone.
+// work returns the duration and the outcome of a run, which depend only on the task and the
+// run.
 func (w *world) work(id workload.TaskID, run int64, _ string) workertest.Work {
 	h := fnv.New64a()
 	fmt.Fprint(h, id, run)
@@ -210,12 +216,12 @@
 	return workertest.Work{Takes: time.Duration(200+n%3000) * time.Millisecond, Fails: n/3000%20 == 0}
 }
 
-func (w *world) problem(format string, args ...any) {
-	w.problems = append(w.problems, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
+func (w *world) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// see holds what workers see against what must hold.
-func (w *world) see(e workertest.Event) {
+// observe checks an event of a worker.
+func (w *world) observe(e workertest.Event) {
 	if e.How != "" {
 		delete(w.running[e.Task], e.Worker)
 		if e.How == control.EndDone {
@@ -225,13 +231,13 @@
 	}
 	w.starts++
 	if len(w.running[e.Task]) > 0 {
-		w.problem("%v runs twice: run %d on %s beside %v", e.Task, e.Run, e.Worker, w.running[e.Task])
+		w.addViolation("%v runs twice: run %d on %s while it runs on %v", e.Task, e.Run, e.Worker, w.running[e.Task])
 	}
-	if w.noted[e.Task] {
-		w.problem("%v run %d begins on %s after its end was noted, token %d", e.Task, e.Run, e.Worker, e.Token)
+	if w.acknowledged[e.Task] {
+		w.addViolation("%v run %d starts on %s after the end of the task was acknowledged, token %d", e.Task, e.Run, e.Worker, e.Token)
 	}
-	if last := w.ended[e.Task]; last > 0 {
-		w.again[worldRun{e.Task, last}] = true
+	if lastDone := w.ended[e.Task]; lastDone > 0 {
+		w.restartedAfterDone[worldRun{e.Task, lastDone}] = true
 	}
 	if w.running[e.Task] == nil {
 		w.running[e.Task] = map[string]int64{}
@@ -239,10 +245,10 @@
 	w.running[e.Task][e.Worker] = e.Run
 }
 
-// noteEnds notes the ends as done that a worker has been told to forget.
-func (w *world) noteEnds(one *workertest.Worker, rows []control.EndedRow, cursor int64) {
+// recordAcknowledged records the tasks that are done whose ends were acknowledged to a worker.
+func (w *world) recordAcknowledged(worker *workertest.Worker, rows []control.EndedRow, cursor int64) {
 	for _, row := range rows {
-		if row.Number > max(cursor, one.Acked()) || row.How != control.EndDone || row.Number <= one.Void() {
+		if row.Number > max(cursor, worker.Acked()) || row.How != control.EndDone || row.Number <= worker.Void() {
 			continue
 		}
 		step, ok := w.step(row.Task)
@@ -255,16 +261,16 @@
 			first, end = 0, step.Count
 		}
 		for id.Index = first; id.Index < end; id.Index++ {
-			w.noted[id] = true
+			w.acknowledged[id] = true
 		}
-		if w.again[worldRun{row.Task, row.Run}] {
-			w.problem("%v began again although its end was noted later", row.Task)
+		if w.restartedAfterDone[worldRun{row.Task, row.Run}] {
+			w.addViolation("%v was started again although its end was acknowledged later", row.Task)
 		}
 	}
 }
 
-// submitSome hands a job in, at one instance after the other until one accepts it.
-func (w *world) submitSome(n int) {
+// submitJob submits a job to one instance after the other until one accepts it.
+func (w *world) submitJob(n int) {
 	id := workload.JobID(fmt.Sprintf("%016x", n))
 	steps := make([]workload.Step, 1+w.rng.Intn(2))
 	for s := range steps {
@@ -279,16 +285,16 @@
 	w.workers.mu.Lock()
 	w.steps[id] = steps
 	w.workers.mu.Unlock()
-	at := w.rng.Intn(100)
-	w.under.Go(func() {
+	first := w.rng.Intn(100)
+	w.background.Go(func() {
 		for try := range 6 {
-			living := w.living()
-			if len(living) == 0 {
+			live := w.liveInstances()
+			if len(live) == 0 {
 				time.Sleep(300 * time.Millisecond)
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-			err := living[(at+try)%len(living)].Submit(ctx, job)
+			err := live[(first+try)%len(live)].Submit(ctx, job)
 			cancel()
 			if err == nil {
 				w.mu.Lock()
@@ -301,27 +307,27 @@
 	})
 }
 
-// living lists the instances that were not killed.
-func (w *world) living() (out []*poolInstance) {
+// liveInstances returns the instances that were not killed.
+func (w *world) liveInstances() (out []*poolInstance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, one := range w.instances {
-		if !one.killed {
-			out = append(out, one)
+	for _, instance := range w.instances {
+		if !instance.killed {
+			out = append(out, instance)
 		}
 	}
 	return out
 }
 
-// broken tells whether something was seen that must not be.
-func (w *world) broken() bool {
+// hasViolations reports whether a violation was observed.
+func (w *world) hasViolations() bool {
 	w.workers.mu.Lock()
 	defer w.workers.mu.Unlock()
-	return len(w.problems) > 0
+	return len(w.violations) > 0
 }
 
-// play plays the world and returns what was broken.
-func (w *world) play() []string {
+// run runs the world and returns the violations.
+func (w *world) run() []string {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var clock sync.WaitGroup
@@ -334,42 +340,42 @@
 		}
 	})
 	time.Sleep(6 * time.Second)
-	until := time.Now().Add(worldLoad)
-	for n := 0; time.Now().Before(until) && !w.broken(); n++ {
+	deadline := time.Now().Add(worldLoadTime)
+	for n := 0; time.Now().Before(deadline) && !w.hasViolations(); n++ {
 		if n%3 == 0 {
-			w.submitSome(n / 3)
+			w.submitJob(n / 3)
 		}
-		if n%w.pace == 0 {
-			w.disturb()
+		if n%w.faultInterval == 0 {
+			w.injectFault()
 		}
-		time.Sleep(200*time.Millisecond + w.span(200))
+		time.Sleep(200*time.Millisecond + w.randomDuration(200))
 	}
-	w.heal()
-	w.awaitAll()
+	w.clearFaults()
+	w.awaitAllEnded()
 	cancel()
 	clock.Wait()
-	w.under.Wait()
-	for _, one := range w.instances {
-		one.stop()
+	w.background.Wait()
+	for _, instance := range w.instances {
+		instance.stop()
 	}
-	for _, one := range w.logs {
-		one.Close(time.Second)
+	for _, instance := range w.logs {
+		instance.Close(time.Second)
 	}
-	return w.problems
+	return w.violations
 }
 
-// awaitAll waits until all jobs that were accepted have ended.
-func (w *world) awaitAll() {
-	until := time.Now().Add(worldRest)
+// awaitAllEnded waits until all accepted jobs have ended.
+func (w *world) awaitAllEnded() {
+	deadline := time.Now().Add(worldSettleTime)
 	open := map[workload.JobID]bool{}
-	for time.Now().Before(until) && !w.broken() {
+	for time.Now().Before(deadline) && !w.hasViolations() {
 		time.Sleep(time.Second)
 		clear(open)
 		w.mu.Lock()
 		jobs := slices.Clone(w.jobs)
 		w.mu.Unlock()
 		for _, job := range jobs {
-			if !w.over(job.ID) {
+			if !w.hasEnded(job.ID) {
 				open[job.ID] = true
 			}
 		}
@@ -377,17 +383,17 @@
 			return
 		}
 	}
-	if !w.broken() {
+	if !w.hasViolations() {
 		w.workers.mu.Lock()
-		w.problem("not ended: %v", open)
+		w.addViolation("jobs that have not ended: %v", open)
 		w.workers.mu.Unlock()
 	}
 }
 
-// over tells whether some instance shows a job as ended.
-func (w *world) over(id workload.JobID) bool {
-	for _, one := range w.living() {
-		if e, ok := one.book.Get(id); ok && e.State.Final() {
+// hasEnded reports whether some instance shows a job as ended.
+func (w *world) hasEnded(id workload.JobID) bool {
+	for _, instance := range w.liveInstances() {
+		if e, ok := instance.book.Get(id); ok && e.State.Final() {
 			return true
 		}
 	}
@@ -395,24 +401,27 @@
 }
 
 var (
-	worldSeeds = flag.Int("service.worlds", 16, "how many random worlds of whole instances are played")
-	worldFirst = flag.Int64("service.seed", 0, "the seed of the first one")
-	worldLines = flag.String("service.lines", "", "the folder for the logs of worlds that break")
+	worldCount     = flag.Int("service.worlds", 16, "the number of random worlds to run")
+	worldFirstSeed = flag.Int64("service.seed", 0, "the seed of the first world")
+	worldLogFolder = flag.String("service.lines", "", "the folder for the logs of worlds with violations")
 )
 
-func TestWholeInstancesUnderRandomTroubles(t *testing.T) {
-	for n := range *worldSeeds {
-		seed := *worldFirst + int64(n)
+// Guards against tasks that run twice, tasks that start again after their end was acknowledged,
+// and accepted jobs that never end, under random faults of instances, data centres, the log and
+// orders.
+func TestInstancesUnderRandomFaults(t *testing.T) {
+	for n := range *worldCount {
+		seed := *worldFirstSeed + int64(n)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, seed)
-				problems := w.play()
-				t.Logf("%d jobs, %d starts, %d terms", len(w.jobs), w.starts, bytes.Count(w.lines.Bytes(), []byte("planner-begins")))
+				problems := w.run()
+				t.Logf("%d jobs, %d starts, %d terms", len(w.jobs), w.starts, bytes.Count(w.output.Bytes(), []byte("planner-begins")))
 				if len(problems) > 0 {
-					t.Errorf("%d problems in %d starts: %v", len(problems), w.starts, problems[:min(3, len(problems))])
-					if *worldLines != "" {
-						_ = os.WriteFile(fmt.Sprintf("%s/%d.log", *worldLines, seed), w.lines.Bytes(), 0o600)
+					t.Errorf("%d violations in %d starts: %v", len(problems), w.starts, problems[:min(3, len(problems))])
+					if *worldLogFolder != "" {
+						_ = os.WriteFile(fmt.Sprintf("%s/%d.log", *worldLogFolder, seed), w.output.Bytes(), 0o600)
 					}
 				}
 			})
--- a/workload/service/world_ways_test.go
+++ b/workload/service/world_transport_test.go
@@ -8,33 +8,33 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// How a world's instances reach the log and the workers.
+// The connections of a world's instances to the log and the workers.
 
-// await waits until ctx ends, or for a time.
-func await(ctx context.Context, most time.Duration) {
+// await waits until ctx ends, but at most for limit.
+func await(ctx context.Context, limit time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(most):
+	case <-time.After(limit):
 	}
 }
 
-// worldLog is the log as one instance reaches it.
+// worldLog is one instance's connection to the log.
 type worldLog struct {
 	w                *world
 	instance, centre string
 }
 
-// silence is how long a call without an answer is waited for.
-const silence = 300 * time.Millisecond
+// unansweredTimeout is how long a caller waits for a call that is not answered.
+const unansweredTimeout = 300 * time.Millisecond
 
-// reached fails where the log does not serve the instance now.
-func (l *worldLog) reached(ctx context.Context) error {
+// checkReachable returns an error if the log does not serve the instance now.
+func (l *worldLog) checkReachable(ctx context.Context) error {
 	switch {
-	case l.w.is(l.w.cut, l.centre), l.w.is(l.w.deaf, l.instance):
-		await(ctx, silence)
+	case l.w.isActive(l.w.cutOff, l.centre), l.w.isActive(l.w.unanswered, l.instance):
+		await(ctx, unansweredTimeout)
 		return ErrUnknown
-	case l.w.is(l.w.refused, l.instance), l.w.is(l.w.down, ""):
-		sleep(ctx, answerTime)
+	case l.w.isActive(l.w.refused, l.instance), l.w.isActive(l.w.down, ""):
+		sleep(ctx, callLatency)
 		return ErrNotDone
 	}
 	return nil
@@ -42,38 +42,38 @@
 
 // Append implements Log.
 func (l *worldLog) Append(ctx context.Context, topic Topic, records []control.Record, writer *Writer) (int64, error) {
-	if err := l.reached(ctx); err != nil {
+	if err := l.checkReachable(ctx); err != nil {
 		return 0, err
 	}
-	lost, after := l.w.append()
+	lost, after := l.w.drawAppend()
 	if !lost {
 		first, err := l.w.log.Append(ctx, topic, records, writer)
-		if again := l.reached(ctx); again != nil {
-			// The answer does not come through.
+		if afterErr := l.checkReachable(ctx); afterErr != nil {
+			// The answer is lost.
 			return 0, ErrUnknown
 		}
 		return first, err
 	}
-	var one *Writer
+	var lateWriter *Writer
 	if writer != nil {
-		same := *writer
-		one = &same
+		copied := *writer
+		lateWriter = &copied
 	}
-	l.w.under.Go(func() {
+	l.w.background.Go(func() {
 		time.Sleep(after)
-		_, _ = l.w.log.Append(context.Background(), topic, records, one)
+		_, _ = l.w.log.Append(context.Background(), topic, records, lateWriter)
 	})
-	await(ctx, silence)
+	await(ctx, unansweredTimeout)
 	return 0, ErrUnknown
 }
 
 // Read implements Log.
 func (l *worldLog) Read(ctx context.Context, topic Topic, from int64, wait time.Duration) (Page, error) {
-	if err := l.reached(ctx); err != nil {
+	if err := l.checkReachable(ctx); err != nil {
 		return Page{}, err
 	}
 	page, err := l.w.log.Read(ctx, topic, from, wait)
-	if l.reached(ctx) != nil {
+	if l.checkReachable(ctx) != nil {
 		return Page{}, ErrUnknown
 	}
 	return page, err
@@ -81,7 +81,7 @@
 
 // Probe implements Log.
 func (l *worldLog) Probe(ctx context.Context, topic Topic) error {
-	if err := l.reached(ctx); err != nil {
+	if err := l.checkReachable(ctx); err != nil {
 		return err
 	}
 	return l.w.log.Probe(ctx, topic)
@@ -89,35 +89,35 @@
 
 // Newest implements Log.
 func (l *worldLog) Newest(ctx context.Context, topic Topic, after string) (NewestPage, error) {
-	if err := l.reached(ctx); err != nil {
+	if err := l.checkReachable(ctx); err != nil {
 		return NewestPage{}, err
 	}
 	page, err := l.w.log.Newest(ctx, topic, after)
-	if l.reached(ctx) != nil {
+	if l.checkReachable(ctx) != nil {
 		return NewestPage{}, ErrUnknown
 	}
 	return page, err
 }
 
-// worldWorkers are the workers as one instance reaches them.
+// worldWorkers is one instance's connection to the workers.
 type worldWorkers struct {
 	w      *world
 	centre string
 }
 
-// carry brings an order to a worker and tells whether its answer came back.
-func (h *worldWorkers) carry(ctx context.Context, worker string, do func(*workertest.Worker)) bool {
-	there, answered, after := h.w.order(h.centre, worker)
-	if there {
-		carry := func() {
+// deliver sends an order to a worker and reports whether its answer was received.
+func (h *worldWorkers) deliver(ctx context.Context, worker string, do func(*workertest.Worker)) bool {
+	delivered, answered, after := h.w.drawOrder(h.centre, worker)
+	if delivered {
+		carryOut := func() {
 			time.Sleep(after)
-			h.w.workers.on(worker, do)
+			h.w.workers.withWorker(worker, do)
 		}
 		if answered {
-			carry()
+			carryOut()
 			return true
 		}
-		h.w.under.Go(carry)
+		h.w.background.Go(carryOut)
 	}
 	<-ctx.Done()
 	return false
@@ -126,7 +126,7 @@
 // Start implements Workers.
 func (h *worldWorkers) Start(ctx context.Context, o control.StartOrder) control.Answer {
 	out := control.Answer{}
-	if !h.carry(ctx, o.Worker, func(one *workertest.Worker) { out = one.Start(o, time.Now()) }) {
+	if !h.deliver(ctx, o.Worker, func(worker *workertest.Worker) { out = worker.Start(o, time.Now()) }) {
 		return control.Answer{Verdict: control.Unanswered}
 	}
 	return out
@@ -135,7 +135,7 @@
 // Stop implements Workers.
 func (h *worldWorkers) Stop(ctx context.Context, o control.StopOrder) control.Answer {
 	out := control.Answer{}
-	if !h.carry(ctx, o.Worker, func(one *workertest.Worker) { out = one.Stop(o, time.Now()) }) {
+	if !h.deliver(ctx, o.Worker, func(worker *workertest.Worker) { out = worker.Stop(o, time.Now()) }) {
 		return control.Answer{Verdict: control.Unanswered}
 	}
 	return out
@@ -145,17 +145,17 @@
 func (h *worldWorkers) Hold(ctx context.Context, o control.HoldOrder) control.HoldAnswer {
 	out := control.HoldAnswer{}
 	for until := time.Now().Add(o.Wait); ; sleep(ctx, 50*time.Millisecond) {
-		fresh := false
-		came := h.carry(ctx, o.Worker, func(one *workertest.Worker) {
-			before := one.Ended()
-			out = one.Hold(o, time.Now())
-			fresh = len(out.Ended) > 0
-			h.w.noteEnds(one, before, o.Cursor)
+		hasEnds := false
+		answered := h.deliver(ctx, o.Worker, func(worker *workertest.Worker) {
+			before := worker.Ended()
+			out = worker.Hold(o, time.Now())
+			hasEnds = len(out.Ended) > 0
+			h.w.recordAcknowledged(worker, before, o.Cursor)
 		})
-		if !came || ctx.Err() != nil {
+		if !answered || ctx.Err() != nil {
 			return control.HoldAnswer{Verdict: control.Unanswered}
 		}
-		if fresh || !time.Now().Before(until) {
+		if hasEnds || !time.Now().Before(until) {
 			return out
 		}
 	}
