--- a/workload/control/advice_test.go
+++ b/workload/control/advice_test.go
@@ -12,7 +12,7 @@
 
 // advisedCore has n workers that answer, and one job of an advised queue.
 func advisedCore(n int, at time.Time, step workload.Step) *control.Core {
-	c := control.New(worldBounds, 1, at)
+	c := control.New(simBounds, 1, at)
 	c.Configure(control.Configuration{Version: 1})
 	var list []control.Listing
 	for i := range n {
--- a/workload/control/availability_test.go
+++ b/workload/control/availability_test.go
@@ -14,18 +14,18 @@
 // and lets go of no more tasks at once than it may miss.
 func TestNoMoreTasksThatLastAreTakenAwayAtOnceThanTheirStepMayMiss(t *testing.T) {
 	for _, mayMiss := range []int{1, 2} {
-		s := newScene()
+		s := newScenario()
 		s.add(jobA, func(j *workload.Job) { j.Account = "lent" }, workload.Step{Count: 6, Need: need(8), Perpetual: true, MayMiss: mayMiss})
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		if n := len(s.starts(jobA)); n != 6 {
 			t.Fatalf("%d starts", n)
 		}
-		s.seats[0].core.Configure(control.Configuration{Version: 2, Guaranteed: map[domain.AccountID]int64{"urgent": 48}})
+		s.planners[0].core.Configure(control.Configuration{Version: 2, Guaranteed: map[domain.AccountID]int64{"urgent": 48}})
 		for _, id := range []workload.JobID{"bbbbbbbbbbbbbbb1", "bbbbbbbbbbbbbbb2", "bbbbbbbbbbbbbbb3"} {
 			s.add(id, func(j *workload.Job) { j.Terms.Priority = 0; j.Account = "urgent" }, workload.Step{Count: 1, Need: need(8), EstimateMS: 60_000})
 		}
 		s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Minute} }
-		s.pass(10 * time.Second)
+		s.advance(10 * time.Second)
 		s.check(t)
 		if n := s.ends(jobA, control.EndStopped); n != mayMiss {
 			t.Fatalf("%d tasks were taken away, %d may be missed", n, mayMiss)
@@ -34,7 +34,7 @@
 }
 
 func TestWhatFillsIsSlowedBeforeItHarmsAndUsesWhatIsLeft(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, _ string) workertest.Work {
 		if id.Job == jobA {
 			return workertest.Work{Takes: time.Hour, TailMS: 50}
@@ -42,18 +42,18 @@
 		return workertest.Work{Takes: time.Hour, DisturbsMS: 100}
 	}
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(8), Perpetual: true, TargetMS: 100})
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	s.add(jobB, nil, workload.Step{Count: 6, Need: workload.Resources{MilliCPU: 32000}, Fills: true, Spread: 1, EstimateMS: 3_600_000})
 	over := map[string]time.Duration{}
 	for range 1500 {
-		s.pass(20 * time.Millisecond)
+		s.advance(20 * time.Millisecond)
 		for id, w := range s.fleet.Workers {
 			for _, tail := range w.Tails() {
 				if tail <= 100 {
 					over[id] = 0
 					continue
 				}
-				if over[id] += 20 * time.Millisecond; over[id] > worldBounds.Harm {
+				if over[id] += 20 * time.Millisecond; over[id] > simBounds.Harm {
 					t.Fatalf("%s is over its target for %v", id, over[id])
 				}
 			}
@@ -70,7 +70,7 @@
 }
 
 func TestWhatFillsIsHaltedWhereItHarmsAtAnyPace(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, _ string) workertest.Work {
 		if id.Job == jobA {
 			return workertest.Work{Takes: time.Hour, TailMS: 40}
@@ -78,9 +78,9 @@
 		return workertest.Work{Takes: time.Hour, DisturbsMS: 10_000}
 	}
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(8), Perpetual: true, TargetMS: 100})
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	s.add(jobB, nil, workload.Step{Count: 6, Need: workload.Resources{MilliCPU: 32000}, Fills: true, Spread: 1, EstimateMS: 3_600_000})
-	s.pass(6 * time.Second)
+	s.advance(6 * time.Second)
 	slowed := 0
 	for _, w := range s.fleet.Workers {
 		for _, tail := range w.Tails() {
--- a/workload/control/crash_failures_test.go
+++ b/workload/control/crash_failures_test.go
@@ -9,20 +9,20 @@
 )
 
 // playCrowded plays crowded worlds at once, and returns them by their seeds.
-func playCrowded(seeds []int64, gangs bool) map[int64]*world {
-	worlds := make([]*world, len(seeds))
+func playCrowded(seeds []int64, gangs bool) map[int64]*simulation {
+	worlds := make([]*simulation, len(seeds))
 	var group sync.WaitGroup
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, seed := range seeds {
 		group.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
-			worlds[i] = newCrowdedCrashWorld(seed, gangs)
-			worlds[i].playAll(nil)
+			worlds[i] = newCrowdedCrashSimulation(seed, gangs)
+			worlds[i].run(nil)
 		})
 	}
 	group.Wait()
-	out := map[int64]*world{}
+	out := map[int64]*simulation{}
 	for i, seed := range seeds {
 		out[seed] = worlds[i]
 	}
@@ -34,8 +34,8 @@
 func TestVerdictsSpareWhatWasBesideInACrowdedPool(t *testing.T) {
 	for gangs, seeds := range map[bool][]int64{false: {1377, 1828, 1956}, true: {173}} {
 		for seed, w := range playCrowded(seeds, gangs) {
-			if innocent := w.innocentGivenUp(); len(innocent) > 0 || len(w.problems) > 0 {
-				t.Errorf("gangs %t, seed %d: given up though innocent: %v; %v", gangs, seed, innocent, w.problems)
+			if innocent := w.wronglyFailedJobs(); len(innocent) > 0 || len(w.violations) > 0 {
+				t.Errorf("gangs %t, seed %d: given up though innocent: %v; %v", gangs, seed, innocent, w.violations)
 			}
 		}
 	}
@@ -60,24 +60,24 @@
 		}
 		innocent, atBound := 0, 0
 		for seed, w := range playCrowded(seeds, gangs) {
-			if len(w.problems) > 0 {
-				t.Errorf("gangs %t, seed %d: %v", gangs, seed, w.problems)
+			if len(w.violations) > 0 {
+				t.Errorf("gangs %t, seed %d: %v", gangs, seed, w.violations)
 			}
-			if jobs := w.innocentGivenUp(); len(jobs) > 0 {
+			if jobs := w.wronglyFailedJobs(); len(jobs) > 0 {
 				innocent += len(jobs)
 				t.Logf("gangs %t, seed %d: given up though innocent: %v", gangs, seed, jobs)
 			}
-			atBound += w.tasksAtBound()
+			atBound += w.tasksAtLimit()
 		}
 		t.Logf("gangs %t, %d worlds, %d jobs given up though innocent, %d tasks at their bound", gangs, worlds, innocent, atBound)
 	}
 }
 
 // tasksAtBound counts the tasks that one start more would have taken over their bound.
-func (w *world) tasksAtBound() int {
+func (sim *simulation) tasksAtLimit() int {
 	count := 0
-	for _, more := range w.lives.more {
-		if more == mostMore {
+	for _, more := range sim.crashes.startsAfterLimit {
+		if more == maxStartsAfterLimit {
 			count++
 		}
 	}
@@ -88,8 +88,8 @@
 // have failed, and the others have no room for it.
 func TestAGangWhoseTasksHaveFailedFindsRoomInASmallPool(t *testing.T) {
 	for seed, w := range playCrowded([]int64{1001, 1729}, false) {
-		if len(w.problems) > 0 {
-			t.Errorf("seed %d: %v", seed, w.problems)
+		if len(w.violations) > 0 {
+			t.Errorf("seed %d: %v", seed, w.violations)
 		}
 	}
 }
--- a/workload/control/crashes_test.go
+++ b/workload/control/crashes_test.go
@@ -30,50 +30,50 @@
 
 // crashScene has twelve workers in four racks, work for a third of them that comes all the
 // while, and three jobs of one task that crash their workers.
-func crashScene(after time.Duration) *scene {
-	s := newScene()
+func newCrashScenario(after time.Duration) *scenario {
+	s := newScenario()
 	for i := 6; i < 12; i++ {
 		s.fleet.Add(fmt.Sprintf("w%d", i), workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}, 1, s.now)
 	}
-	s.crashing(map[workload.JobID]time.Duration{crasher(0): after, crasher(1): after, crasher(2): after}, 3400*time.Millisecond)
+	s.enableCrashes(map[workload.JobID]time.Duration{crashingJob(0): after, crashingJob(1): after, crashingJob(2): after}, 3400*time.Millisecond)
 	return s
 }
 
-func crasher(i int) workload.JobID { return workload.JobID(fmt.Sprintf("c%015x", i)) }
+func crashingJob(i int) workload.JobID { return workload.JobID(fmt.Sprintf("c%015x", i)) }
 
 // playCrashes lets a job of four tasks come each 400 ms for a time, and a planner follow
 // another each so often; 0 is never.
-func (s *scene) playCrashes(lasts, succession time.Duration) (innocent []workload.JobID) {
+func (s *scenario) runCrashes(lasts, succession time.Duration) (innocent []workload.JobID) {
 	began := s.now
 	succeeded := s.now
 	for i := 0; s.now.Sub(began) < lasts; i++ {
 		innocent = append(innocent, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(2), EstimateMS: 400}))
 		if i%5 == 0 && i < 15 {
-			s.add(crasher(i/5), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: 400})
+			s.add(crashingJob(i/5), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: 400})
 		}
-		s.pass(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 		if succession > 0 && s.now.Sub(succeeded) > succession {
 			succeeded = s.now
-			s.claim(nil)
+			s.startPlanner(nil)
 		}
 	}
-	s.pass(30 * time.Second)
+	s.advance(30 * time.Second)
 	return innocent
 }
 
 func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for name, succession := range map[string]time.Duration{"one planner": 0, "planner after planner": 5 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			s := crashScene(10 * time.Millisecond)
-			innocent := s.playCrashes(40*time.Second, succession)
+			s := newCrashScenario(10 * time.Millisecond)
+			innocent := s.runCrashes(40*time.Second, succession)
 			s.check(t)
 			for i := range 3 {
-				if state := s.state(crasher(i)); state != workload.Failed {
-					t.Errorf("a job whose task crashed %d workers is %s", s.lives.crashes[workload.TaskID{Job: crasher(i)}], state)
+				if state := s.jobState(crashingJob(i)); state != workload.Failed {
+					t.Errorf("a job whose task crashed %d workers is %s", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
 				}
 			}
 			for _, id := range innocent {
-				if state := s.state(id); state != workload.Completed {
+				if state := s.jobState(id); state != workload.Completed {
 					t.Errorf("job %s, whose tasks crash nothing, is %s", id, state)
 				}
 			}
@@ -82,28 +82,28 @@
 }
 
 // crashWorlds plays worlds at once, and tells of each what was wrong.
-func crashWorlds(t *testing.T, seeds []int64) (crashes int) {
+func crashSimulations(t *testing.T, seeds []int64) (crashes int) {
 	t.Helper()
-	worlds := make([]*world, len(seeds))
+	worlds := make([]*simulation, len(seeds))
 	var group sync.WaitGroup
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, seed := range seeds {
 		group.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
-			worlds[i] = newCrashWorld(seed)
-			worlds[i].playAll(nil)
+			worlds[i] = newCrashSimulation(seed)
+			worlds[i].run(nil)
 		})
 	}
 	group.Wait()
 	for i, w := range worlds {
-		for _, n := range w.lives.crashes {
+		for _, n := range w.crashes.crashCount {
 			crashes += n
 		}
-		if len(w.problems) > 0 {
-			t.Errorf("seed %d: %v", seeds[i], w.problems)
+		if len(w.violations) > 0 {
+			t.Errorf("seed %d: %v", seeds[i], w.violations)
 		}
-		if innocent := w.innocentGivenUp(); len(innocent) > 0 {
+		if innocent := w.wronglyFailedJobs(); len(innocent) > 0 {
 			t.Errorf("seed %d: given up though innocent: %v", seeds[i], innocent)
 		}
 	}
@@ -132,7 +132,7 @@
 	for i := range seeds {
 		seeds[i] = from + int64(i)
 	}
-	t.Logf("%d worlds, %d crashes", worlds, crashWorlds(t, seeds))
+	t.Logf("%d worlds, %d crashes", worlds, crashSimulations(t, seeds))
 }
 
 // Two gangs whose members crash their workers were started without a bound, once in 3,000
@@ -140,17 +140,17 @@
 // since each run ended with the crash of one member, and the others' runs were not counted. In
 // the other a member that waited for its gang for 0.7 s was taken for at work, and cleared.
 func TestGangsThatCrashTheirWorkersAreBounded(t *testing.T) {
-	crashWorlds(t, []int64{2666, 5958})
+	crashSimulations(t, []int64{2666, 5958})
 }
 
 // Guards against a task that crashes its workers being cleared since the time of a run that an
 // earlier planner had ordered was counted from when it was taken over.
 func TestRunsThatWereTakenOverClearNoTaskTooEarly(t *testing.T) {
-	crashWorlds(t, []int64{2462, 2657})
+	crashSimulations(t, []int64{2462, 2657})
 }
 
 // Guards against tasks that crash workers of a small pool being started beyond their bound since
 // the crashes of other jobs' tasks are taken for an outage.
 func TestTasksThatCrashASmallPoolTogetherAreBounded(t *testing.T) {
-	crashWorlds(t, []int64{173, 180, 2201, 284, 700, 1815, 2730, 3664})
+	crashSimulations(t, []int64{173, 180, 2201, 284, 700, 1815, 2730, 3664})
 }
--- a/workload/control/debug_test.go
+++ b/workload/control/debug_test.go
@@ -20,15 +20,15 @@
 		t.Skip("set WORLD_SEED and WORLD_TASK to trace a world")
 	}
 	task := os.Getenv("WORLD_TASK")
-	w := newWorld(seed, true)
+	w := newSimulation(seed, true)
 	if os.Getenv("WORLD_CRASHES") != "" {
-		w = newCrashWorld(seed)
+		w = newCrashSimulation(seed)
 	}
 	if kind := os.Getenv("WORLD_CROWDED"); kind != "" {
-		w = newCrowdedCrashWorld(seed, kind == "gangs")
+		w = newCrowdedCrashSimulation(seed, kind == "gangs")
 	}
 	if cell := os.Getenv("WORLD_RESTARTS"); cell != "" {
-		w = newRestartWorld(seed, cell == "faulty")
+		w = newRestartSimulation(seed, cell == "faulty")
 	}
 	seen := w.fleet.Seen
 	w.fleet.Seen = func(e workertest.Event) {
@@ -43,6 +43,6 @@
 			t.Logf("%v %s", w.now.Sub(time.Unix(1_000_000, 0)), line)
 		}
 	}
-	w.playAll(nil)
-	t.Log(w.problems)
+	w.run(nil)
+	t.Log(w.violations)
 }
--- a/workload/control/departures_test.go
+++ b/workload/control/departures_test.go
@@ -24,40 +24,40 @@
 
 // newDepartureWorld is a world whose workers drain and then leave, crash, or are cut off and run
 // on; its list is read late, and its store is down at times.
-func newDepartureWorld(seed int64, faulty bool) *world {
-	w := newWorld(seed, faulty)
-	w.registry = newRegistry()
-	w.registry.drops = w.rng.Intn(2) == 0
-	w.leaving = map[string]int64{}
-	w.fleet.Work = w.longWork
+func newDepartureSimulation(seed int64, faulty bool) *simulation {
+	sim := newSimulation(seed, faulty)
+	sim.registry = newRegistry()
+	sim.registry.losesEntries = sim.rng.Intn(2) == 0
+	sim.drainRemainingMS = map[string]int64{}
+	sim.fleet.Work = sim.longWork
 	for range moreWorkers {
-		w.addWorker()
+		sim.addWorker()
 	}
-	for range 1 + w.rng.Intn(mostDepartures) {
-		w.later(time.Duration(w.rng.Intn(int(worldLasts))), w.depart)
+	for range 1 + sim.rng.Intn(mostDepartures) {
+		sim.schedule(time.Duration(sim.rng.Intn(int(faultPeriod))), sim.drainWorker)
 	}
-	for range w.rng.Intn(mostOutages + 1) {
-		w.later(time.Duration(w.rng.Intn(int(worldLasts))), w.outage)
+	for range sim.rng.Intn(mostOutages + 1) {
+		sim.schedule(time.Duration(sim.rng.Intn(int(faultPeriod))), sim.storeOutage)
 	}
 	for range lagChanges {
-		w.later(time.Duration(w.rng.Intn(int(worldLasts))), func() { w.registry.lag = lags[w.rng.Intn(len(lags))] })
+		sim.schedule(time.Duration(sim.rng.Intn(int(faultPeriod))), func() { sim.registry.readLag = lags[sim.rng.Intn(len(lags))] })
 	}
-	return w
+	return sim
 }
 
 // outage takes the store down for a while; some of the workers that drain are cut off with it.
-func (w *world) outage() {
-	w.goDown(w.within(500, 6000))
-	for _, id := range sortedIDs(w.fleet.Workers) {
-		if w.leaving[id] > 0 && w.rng.Intn(2) == 0 {
-			w.cutOff(id, w.within(1000, 9000), w.within(1000, 9000))
+func (sim *simulation) storeOutage() {
+	sim.takeStoreDown(sim.randomDuration(500, 6000))
+	for _, id := range sortedIDs(sim.fleet.Workers) {
+		if sim.drainRemainingMS[id] > 0 && sim.rng.Intn(2) == 0 {
+			sim.cutOff(id, sim.randomDuration(1000, 9000), sim.randomDuration(1000, 9000))
 		}
 	}
 }
 
 // longWork takes far longer than its step expects; a third of it outlasts leases.
-func (w *world) longWork(id workload.TaskID, run int64, worker string) workertest.Work {
-	work := w.work(id, run, worker)
+func (sim *simulation) longWork(id workload.TaskID, run int64, worker string) workertest.Work {
+	work := sim.randomWork(id, run, worker)
 	work.Takes *= 3
 	if (id.Index+id.Step+int(run))%3 == 0 {
 		work.Takes = 12*time.Second + work.Takes
@@ -66,31 +66,31 @@
 }
 
 // within draws a time between two bounds in milliseconds.
-func (w *world) within(least, most int) time.Duration {
-	return time.Duration(least+w.rng.Intn(most-least)) * time.Millisecond
+func (sim *simulation) randomDuration(least, most int) time.Duration {
+	return time.Duration(least+sim.rng.Intn(most-least)) * time.Millisecond
 }
 
 // depart has a worker drain, and then leave, crash, or be cut off from the store, the planners or
 // both, at times of their own.
-func (w *world) depart() {
-	id := w.anyWorker()
-	if w.fleet.Workers[id].Dead || w.leaving[id] > 0 {
+func (sim *simulation) drainWorker() {
+	id := sim.randomWorker()
+	if sim.fleet.Workers[id].Dead || sim.drainRemainingMS[id] > 0 {
 		return
 	}
-	w.leaving[id] = w.within(10_000, 30_000).Milliseconds()
-	if w.rng.Intn(2) == 0 {
+	sim.drainRemainingMS[id] = sim.randomDuration(10_000, 30_000).Milliseconds()
+	if sim.rng.Intn(2) == 0 {
 		// It says so at once.
-		w.registry.beats[id] = w.now
+		sim.registry.nextHeartbeat[id] = sim.now
 	}
-	switch w.rng.Intn(4) {
+	switch sim.rng.Intn(4) {
 	case 0:
-		w.later(w.within(300, 5000), func() { w.leave(id) })
+		sim.schedule(sim.randomDuration(300, 5000), func() { sim.departAsPlanned(id) })
 	case 1:
-		w.later(w.within(300, 5000), func() { w.crash(id) })
+		sim.schedule(sim.randomDuration(300, 5000), func() { sim.crash(id) })
 	default:
-		w.later(w.within(0, 5000), func() { w.registry.cut[id] = w.now.Add(w.within(1000, 9000)) })
-		w.later(w.within(0, 5000), func() { w.cut[id] = w.now.Add(w.within(1000, 9000)) })
-		w.later(w.within(10_000, 15_000), func() { w.leave(id) })
+		sim.schedule(sim.randomDuration(0, 5000), func() { sim.registry.unreachableUntil[id] = sim.now.Add(sim.randomDuration(1000, 9000)) })
+		sim.schedule(sim.randomDuration(0, 5000), func() { sim.unreachableUntil[id] = sim.now.Add(sim.randomDuration(1000, 9000)) })
+		sim.schedule(sim.randomDuration(10_000, 15_000), func() { sim.departAsPlanned(id) })
 	}
 }
 
@@ -108,9 +108,9 @@
 	}
 	for name, faulty := range map[string]bool{"with no other trouble": false, "beside other troubles": true} {
 		t.Run(name, func(t *testing.T) {
-			played := make([]*world, worlds)
-			broken := brokenWorlds(worlds, func(seed int64) *world {
-				played[seed] = newDepartureWorld(seed, faulty)
+			played := make([]*simulation, worlds)
+			broken := simulationViolations(worlds, func(seed int64) *simulation {
+				played[seed] = newDepartureSimulation(seed, faulty)
 				return played[seed]
 			})
 			if len(broken) > 0 {
@@ -118,7 +118,7 @@
 			}
 			left := 0
 			for _, w := range played {
-				left += w.left
+				left += w.departures
 			}
 			if left == 0 {
 				t.Fatal("no worker was found to have left")
@@ -130,20 +130,20 @@
 
 func TestMutantsOfDeparturesAreCaught(t *testing.T) {
 	for name, m := range map[string]mutant{
-		"each removal is a departure":        {heartbeats: 1000},
-		"entries expire later than believed": {heartbeats: 2},
+		"each removal is a departure":        {heartbeatFactor: 1000},
+		"entries expire later than believed": {heartbeatFactor: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range mutantWorlds {
-				w := newDepartureWorld(int64(seed), true)
+			for seed := range mutantSeeds {
+				w := newDepartureSimulation(int64(seed), true)
 				w.mutant = m
-				w.playAll(nil)
-				if len(w.problems) > 0 {
-					t.Logf("caught at seed %d: %s", seed, w.problems[0])
+				w.run(nil)
+				if len(w.violations) > 0 {
+					t.Logf("caught at seed %d: %s", seed, w.violations[0])
 					return
 				}
 			}
-			t.Fatalf("not caught in %d worlds", mutantWorlds)
+			t.Fatalf("not caught in %d worlds", mutantSeeds)
 		})
 	}
 }
--- a/workload/control/evacuation_test.go
+++ b/workload/control/evacuation_test.go
@@ -19,7 +19,7 @@
 
 func newCentres(t *testing.T, change func(*control.Bounds)) *centres {
 	t.Helper()
-	bounds := worldBounds
+	bounds := simBounds
 	if change != nil {
 		change(&bounds)
 	}
@@ -239,7 +239,7 @@
 // with planners that read of it late, writes that take long, and everything else that
 // disturbs a world.
 type evacuating struct {
-	*world
+	*simulation
 	// asked is since when a data centre is evacuated; views are what was asked, by time.
 	asked map[string]time.Time
 	views []view
@@ -295,7 +295,7 @@
 	e.views = append(e.views, view{e.now, all})
 }
 
-func (e *evacuating) places(s *seat, began time.Time) {
+func (e *evacuating) places(s *planner, began time.Time) {
 	if e.mutant.blind && e.now.Sub(began) < 5*time.Second {
 		return
 	}
@@ -303,12 +303,12 @@
 }
 
 // play is one planner's rounds: between a decision and its orders lies a write.
-func (e *evacuating) play(s *seat, began time.Time) {
+func (e *evacuating) play(s *planner, began time.Time) {
 	list := e.listings()
 	for i := range list {
 		list[i].DataCentre = centreOf(list[i].ID)
 	}
-	for _, id := range e.order {
+	for _, id := range e.jobIDs {
 		s.core.Adopt(workload.JobID(id), e.entry(workload.JobID(id)))
 	}
 	s.core.List(list, e.now)
@@ -323,17 +323,17 @@
 			e.places(s, began)
 		}
 		e.give(s, s.core.Due(e.now))
-		e.orders(s)
+		e.sendOrders(s)
 	}
 	if !e.mutant.early {
 		e.places(s, began)
 	}
 	e.give(s, s.core.Persisted(e.now))
 	e.give(s, s.core.Due(e.now))
-	e.orders(s)
+	e.sendOrders(s)
 }
 
-func (e *evacuating) give(s *seat, orders []control.StartOrder) {
+func (e *evacuating) give(s *planner, orders []control.StartOrder) {
 	for _, o := range orders {
 		e.check(o)
 		e.sendStart(s, o)
@@ -344,20 +344,20 @@
 func (e *evacuating) check(o control.StartOrder) {
 	since, asked := e.asked[centreOf(o.Worker)]
 	if asked && e.now.Sub(since) > e.lag+40*time.Millisecond {
-		e.problem("%v is started in %s, which was evacuated %v ago", o.Task, centreOf(o.Worker), e.now.Sub(since))
+		e.violation("%v is started in %s, which was evacuated %v ago", o.Task, centreOf(o.Worker), e.now.Sub(since))
 	}
 }
 
 func playEvacuating(seed int64, m evacuationMutant) *evacuating {
-	e := &evacuating{world: newWorld(seed, true), asked: map[string]time.Time{}, mutant: m}
+	e := &evacuating{simulation: newSimulation(seed, true), asked: map[string]time.Time{}, mutant: m}
 	e.lag = time.Duration(e.rng.Intn(800)) * time.Millisecond
 	began := e.now
-	e.claim(nil)
+	e.startPlanner(nil)
 	for i := range 120 {
 		// Seats play here, not in tick.
-		s := e.seats[len(e.seats)-1]
-		seats := e.seats
-		e.seats = nil
+		s := e.planners[len(e.planners)-1]
+		seats := e.planners
+		e.planners = nil
 		e.write = time.Duration(e.rng.Intn(10)) * time.Millisecond
 		if e.rng.Intn(8) == 0 {
 			e.write = time.Duration(e.rng.Intn(3000)) * time.Millisecond
@@ -370,13 +370,13 @@
 		}
 		e.play(s, began)
 		e.tick(60 * time.Millisecond)
-		e.seats = append(seats, e.seats...)
+		e.planners = append(seats, e.planners...)
 		if e.rng.Intn(20) == 0 {
 			s.dead = true
 			began = e.now
-			e.claim(nil)
+			e.startPlanner(nil)
 		}
-		if len(e.problems) > 0 {
+		if len(e.violations) > 0 {
 			return e
 		}
 	}
@@ -390,9 +390,9 @@
 	}
 	for seed := range worlds {
 		e := playEvacuating(int64(seed), evacuationMutant{})
-		starts += e.starts
-		if len(e.problems) > 0 {
-			t.Fatalf("seed %d: %v", seed, e.problems)
+		starts += e.startCount
+		if len(e.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, e.violations)
 		}
 	}
 	if starts < worlds {
@@ -407,16 +407,16 @@
 		"only the newest request counts":               {newest: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range mutantWorlds {
+			for seed := range mutantSeeds {
 				e := playEvacuating(int64(seed), m)
-				for _, p := range e.problems {
+				for _, p := range e.violations {
 					if strings.Contains(p, "evacuated") {
 						t.Logf("caught at seed %d: %s", seed, p)
 						return
 					}
 				}
 			}
-			t.Fatalf("not caught in %d worlds", mutantWorlds)
+			t.Fatalf("not caught in %d worlds", mutantSeeds)
 		})
 	}
 }
@@ -431,7 +431,7 @@
 			entry.Progress = r.Value
 		}
 	}
-	next := &centres{now: first.now, list: first.list, Core: control.New(worldBounds, 2, first.now)}
+	next := &centres{now: first.now, list: first.list, Core: control.New(simBounds, 2, first.now)}
 	next.Configure(control.Configuration{Version: 1})
 	next.Adopt(jobA, entry)
 	next.Evacuate([]string{"a"}, next.now)
--- a/workload/control/first_clock_test.go
+++ b/workload/control/first_clock_test.go
@@ -8,7 +8,7 @@
 // Guards against leases that are counted by the clock of a life before: the worker's entry shows
 // a clock that the life which answers first has not reached.
 func TestTheFirstAnswerTellsTheClockWhateverTheEntryShowed(t *testing.T) {
-	s := newUnknownScene()
+	s := newUnknownEndsScenario()
 	const shown, answered = 3_600_000, 500
 	s.c.List([]Listing{{ID: "w0", Address: "0", Rack: "r", ClockMS: shown}}, s.now)
 	s.now = s.now.Add(100 * time.Millisecond)
--- a/workload/control/incarnations_settled_test.go
+++ b/workload/control/incarnations_settled_test.go
@@ -8,7 +8,7 @@
 )
 
 // answerAs answers the next hold of a worker as a life of it, with nothing running there.
-func (s *cutOffScene) answerAs(t *testing.T, worker string, born, clockMS int64) {
+func (s *cutOffScenario) answerAs(t *testing.T, worker string, born, clockMS int64) {
 	t.Helper()
 	s.now = s.now.Add(HoldRetry + pollPause)
 	order, ok := s.c.Hold(worker, s.now)
@@ -26,7 +26,7 @@
 // What settled it is this test: after the restart 1 run is live, 3 s and 12 holds later too.
 func TestAStartThatWentOutInASilenceIsSettledByTheNextLife(t *testing.T) {
 	for _, gang := range []bool{false, true} {
-		s := newCutOffScene(gang)
+		s := newCutOffScenario(gang)
 		s.c.workers["w0"].startMS = 7
 		s.c.Round(s.now, s.now.UnixMilli())
 		s.c.Changes()
@@ -51,7 +51,7 @@
 // Where the planner never heard the earlier life fall silent, the next one has to answer a
 // raised token before anything is settled.
 func TestARestartThatNobodyHeardIsSettledUnderARaisedToken(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	s.c.workers["w0"].startMS = 7
 	if n := len(s.round()); n != 2 {
 		t.Fatalf("%d tasks began", n)
@@ -70,7 +70,7 @@
 // A worker whose address was another's for a while is used again once it is listed with
 // another birth.
 func TestAWorkerThatWasGoneComesBackAsAnotherLife(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	entry := Listing{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1, Born: 7}
 	s.c.List([]Listing{entry}, s.now)
 	s.c.Held(HoldOrder{Worker: "w0", Token: 1, Address: "0"}, HoldAnswer{Verdict: Gone}, s.now, s.now)
@@ -87,7 +87,7 @@
 
 // A refusal from an address that a worker has left says nothing of it.
 func TestAnAnswerFromAnAddressThatAWorkerHasLeftEndsNoLife(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	s.round()
 	s.c.Held(HoldOrder{Worker: "w0", Token: 1, Address: "elsewhere"}, HoldAnswer{Verdict: Gone}, s.now, s.now)
 	if len(s.c.runs) != 2 || s.c.workers["w0"].gone {
@@ -98,16 +98,16 @@
 // Runs that a planner took over and has seen at work are lost with their worker's life, and its
 // crash counts, as for those that it ordered itself.
 func TestRunsThatWereTakenOverAreLostWithTheirWorkersLife(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	s.c.workers["w0"].startMS = 7
 	s.round()
 	for _, l := range s.c.runs {
 		l.ordered, l.incarnation, l.token = false, 0, 0
 	}
-	s.hold("w0", []RunningRow{{Task: s.first(0), Run: 1, Percent: 1}, {Task: s.first(1), Run: 1, Percent: 1}}, nil)
+	s.renew("w0", []RunningRow{{Task: s.firstStepTask(0), Run: 1, Percent: 1}, {Task: s.firstStepTask(1), Run: 1, Percent: 1}}, nil)
 	s.answerAs(t, "w0", 8, 10)
 	for i := range 2 {
-		if task := s.c.jobs[s.id].progress.Find(s.first(i)); task.Phase != workload.Waiting || task.Crashes != 1 {
+		if task := s.c.jobs[s.id].progress.Find(s.firstStepTask(i)); task.Phase != workload.Waiting || task.Crashes != 1 {
 			t.Fatalf("%+v", task)
 		}
 	}
--- a/workload/control/late_end_test.go
+++ b/workload/control/late_end_test.go
@@ -10,14 +10,14 @@
 
 // cutOffScene plays a job of two steps whose first step runs on a worker that falls
 // silent: its lease is taken to be over. It returns the core with the time.
-type cutOffScene struct {
+type cutOffScenario struct {
 	c   *Core
 	now time.Time
 	id  workload.JobID
 }
 
-func newCutOffScene(gang bool) *cutOffScene {
-	s := &cutOffScene{now: time.Unix(1000, 0), id: "00000000000000aa"}
+func newCutOffScenario(gang bool) *cutOffScenario {
+	s := &cutOffScenario{now: time.Unix(1000, 0), id: "00000000000000aa"}
 	s.c = New(Bounds{Lease: 6 * time.Second, Authority: time.Hour, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second, ReclaimWithin: 3 * time.Second, FarFactor: 3, Wait: time.Second}, 1, s.now)
 	s.c.Configure(Configuration{Queues: map[string]workload.Terms{"q": {Priority: 1, Attempts: 3, Stretch: 3, TargetMS: 1000}}})
 	var list []Listing
@@ -25,19 +25,19 @@
 		list = append(list, Listing{ID: fmt.Sprint("w", i), Address: fmt.Sprint(i), Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1})
 	}
 	s.c.List(list, s.now)
-	s.hold("w0", nil, nil)
+	s.renew("w0", nil, nil)
 	s.c.workers["w1"].reachable = false
 	steps := []workload.Step{{Count: 2, Gang: gang, EstimateMS: 2000, Need: workload.Resources{Accelerators: 1}}, {Count: 3, DependsOn: []int{0}, EstimateMS: 2000, Need: workload.Resources{Accelerators: 1}}}
 	s.c.Adopt(s.id, workload.Entry{Job: &workload.Job{ID: s.id, Queue: "q", AcceptedMS: s.now.UnixMilli(), Steps: steps}, State: workload.Queued})
 	return s
 }
 
-func (s *cutOffScene) hold(worker string, running []RunningRow, ended []EndedRow) {
+func (s *cutOffScenario) renew(worker string, running []RunningRow, ended []EndedRow) {
 	s.c.Held(HoldOrder{Worker: worker, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000, Running: running, Ended: ended}, s.now, s.now)
 }
 
 // round decides, and returns what is ordered to start.
-func (s *cutOffScene) round() []StartOrder {
+func (s *cutOffScenario) round() []StartOrder {
 	s.c.Round(s.now, s.now.UnixMilli())
 	s.c.Changes()
 	out := s.c.Persisted(s.now)
@@ -47,12 +47,12 @@
 	return out
 }
 
-func (s *cutOffScene) first(index int) workload.TaskID {
+func (s *cutOffScenario) firstStepTask(index int) workload.TaskID {
 	return workload.TaskID{Job: s.id, Step: 0, Index: index}
 }
 
 // silent lets the worker fall silent until its lease is over.
-func (s *cutOffScene) silent(t *testing.T) {
+func (s *cutOffScenario) expireLease(t *testing.T) {
 	s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Unanswered}, s.now, s.now)
 	s.now = s.now.Add(8 * time.Second)
 	s.round()
@@ -66,13 +66,13 @@
 func TestARunThatWasWrittenOffAndIsListedAsDoneIsDone(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		t.Run(fmt.Sprintf("gang=%t", gang), func(t *testing.T) {
-			s := newCutOffScene(gang)
+			s := newCutOffScenario(gang)
 			if n := len(s.round()); n != 2 {
 				t.Fatalf("%d tasks began", n)
 			}
 			s.now = s.now.Add(time.Second)
-			s.silent(t)
-			s.hold("w0", nil, []EndedRow{{Number: 1, Task: s.first(0), Run: 1, How: EndDone}, {Number: 2, Task: s.first(1), Run: 1, How: EndDone}})
+			s.expireLease(t)
+			s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndDone}, {Number: 2, Task: s.firstStepTask(1), Run: 1, How: EndDone}})
 			starts := s.round()
 			if len(starts) != 3 {
 				t.Fatalf("%d of the next step's 3 tasks begin", len(starts))
@@ -88,24 +88,24 @@
 
 // What was begun in its place is stopped, and its end changes nothing.
 func TestWhatWasBegunInPlaceOfADoneRunIsStopped(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	s.round()
 	s.now = s.now.Add(time.Second)
-	s.silent(t)
-	s.hold("w1", nil, nil)
+	s.expireLease(t)
+	s.renew("w1", nil, nil)
 	if n := len(s.round()); n != 2 {
 		t.Fatalf("%d tasks begin again", n)
 	}
-	s.hold("w0", nil, []EndedRow{{Number: 1, Task: s.first(0), Run: 1, How: EndDone}, {Number: 2, Task: s.first(1), Run: 1, How: EndDone}})
+	s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndDone}, {Number: 2, Task: s.firstStepTask(1), Run: 1, How: EndDone}})
 	if stops := s.c.Stops(); len(stops) != 2 {
 		t.Fatalf("%d stops", len(stops))
 	}
 	if n := len(s.round()); n != 3 {
 		t.Fatalf("%d of the next step's tasks begin", n)
 	}
-	s.hold("w1", nil, []EndedRow{{Number: 1, Task: s.first(0), Run: 2, How: EndStopped}, {Number: 2, Task: s.first(1), Run: 2, How: EndFailed}})
+	s.renew("w1", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 2, How: EndStopped}, {Number: 2, Task: s.firstStepTask(1), Run: 2, How: EndFailed}})
 	for i := range 2 {
-		if task := s.c.jobs[s.id].progress.Find(s.first(i)); task.Phase != workload.Done || task.Fails != 0 {
+		if task := s.c.jobs[s.id].progress.Find(s.firstStepTask(i)); task.Phase != workload.Done || task.Fails != 0 {
 			t.Fatalf("%+v", task)
 		}
 	}
@@ -119,13 +119,13 @@
 		"never ordered": {Number: 1, Run: 7, How: EndDone},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newCutOffScene(false)
+			s := newCutOffScenario(false)
 			s.round()
 			s.now = s.now.Add(time.Second)
-			s.silent(t)
-			row.Task = s.first(0)
-			s.hold("w0", nil, []EndedRow{row})
-			if task := s.c.jobs[s.id].progress.Find(s.first(0)); task.Phase == workload.Done || task.Fails != 0 {
+			s.expireLease(t)
+			row.Task = s.firstStepTask(0)
+			s.renew("w0", nil, []EndedRow{row})
+			if task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0)); task.Phase == workload.Done || task.Fails != 0 {
 				t.Fatalf("%+v", task)
 			}
 		})
--- a/workload/control/late_starts_test.go
+++ b/workload/control/late_starts_test.go
@@ -12,7 +12,7 @@
 
 // carryOutLate lets a worker carry out the first order for a task that never
 // had an answer.
-func (s *scene) carryOutLate(t *testing.T, token int64) {
+func (s *scenario) deliverLateStart(t *testing.T, token int64) {
 	t.Helper()
 	task := workload.TaskID{Job: jobA}
 	progress := workload.NewProgress()
@@ -32,15 +32,15 @@
 
 // newCutScene has a job that was ordered a second ago while all workers are cut
 // off for four: the order got lost.
-func newCutScene() *scene {
-	s := newScene()
+func newUnreachableScenario() *scenario {
+	s := newScenario()
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Minute} }
-	s.pass(time.Second)
+	s.advance(time.Second)
 	for id := range s.fleet.Workers {
-		s.cut[id] = s.now.Add(4 * time.Second)
+		s.unreachableUntil[id] = s.now.Add(4 * time.Second)
 	}
 	s.add(jobA, nil, workload.Step{Count: 1, Need: need(1)})
-	s.pass(time.Second)
+	s.advance(time.Second)
 	return s
 }
 
@@ -48,11 +48,11 @@
 // of touch with the planner: the run is found and stopped as soon as the worker
 // can be reached.
 func TestARunThatAWorkerStartedLateIsStoppedOnceItsJobIsCancelled(t *testing.T) {
-	s := newCutScene()
-	token := s.seats[0].ordered
-	s.carryOutLate(t, token)
-	s.cancels[jobA] = s.now
-	s.pass(3*time.Second + worldLimits.StopTimeout + time.Second)
+	s := newUnreachableScenario()
+	token := s.planners[0].lastStartToken
+	s.deliverLateStart(t, token)
+	s.cancelledAt[jobA] = s.now
+	s.advance(3*time.Second + simLimits.StopTimeout + time.Second)
 	s.check(t)
 	if s.ends(jobA, control.EndStopped) != 1 {
 		t.Fatalf("the run goes on: %+v", s.events)
@@ -62,14 +62,14 @@
 // The same where the planner that sent the order was removed for good before:
 // its successor finds the run on a worker that it has no order for.
 func TestARunWhoseStarterIsGoneIsStoppedOnceItsJobIsCancelled(t *testing.T) {
-	s := newCutScene()
-	old := s.seats[0]
+	s := newUnreachableScenario()
+	old := s.planners[0]
 	old.dead = true
-	s.cancels[jobA] = s.now
-	s.claim(nil)
-	s.pass(time.Second)
-	s.carryOutLate(t, old.ordered)
-	s.pass(2*time.Second + worldLimits.StopTimeout + time.Second)
+	s.cancelledAt[jobA] = s.now
+	s.startPlanner(nil)
+	s.advance(time.Second)
+	s.deliverLateStart(t, old.lastStartToken)
+	s.advance(2*time.Second + simLimits.StopTimeout + time.Second)
 	s.check(t)
 	if s.ends(jobA, control.EndStopped) != 1 {
 		t.Fatalf("the run goes on: %+v", s.events)
--- a/workload/control/maintenance_test.go
+++ b/workload/control/maintenance_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-func (s *scene) hosts() []control.HostListing {
+func (s *scenario) hosts() []control.HostListing {
 	var out []control.HostListing
 	for _, l := range s.listings() {
 		out = append(out, control.HostListing{Host: "h" + l.ID, Worker: l.ID, Up: true})
@@ -54,7 +54,7 @@
 
 // succeed seats a new planner, which knows what is in the log.
 func (m *maintenance) succeed() {
-	bounds := worldBounds
+	bounds := simBounds
 	bounds.Maintenance = hostDownFor
 	bounds.DutyLease = 300 * time.Millisecond
 	m.core = control.New(bounds, m.now.UnixMilli(), m.now)
@@ -162,17 +162,17 @@
 }
 
 func TestAHostIsVacatedBeforeItsMaintenance(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.fleet.Work = nil
-	s.fleet.Work = s.work
+	s.fleet.Work = s.randomWork
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(8), Checkpoint: true, EstimateMS: 60_000})
-	s.pass(time.Second)
-	core := s.seats[0].core
+	s.advance(time.Second)
+	core := s.planners[0].core
 	list := s.hosts()
 	core.AdoptWave(control.Wave{ID: 1, Hosts: allHosts(list), Within: 30 * time.Second, Most: 1}, nil, s.now.UnixMilli())
 	core.Hosts(list, s.now)
 	for range 300 {
-		s.pass(20 * time.Millisecond)
+		s.advance(20 * time.Millisecond)
 		for _, o := range core.Duties(s.now) {
 			if n := s.fleet.Workers[o.Host[1:]].Running(); n > 0 {
 				t.Fatalf("%s has %d runs when its maintenance begins", o.Host, n)
--- a/workload/control/outage_bench_test.go
+++ b/workload/control/outage_bench_test.go
@@ -8,9 +8,9 @@
 )
 
 // restartAll lets every worker answer as another life that runs nothing.
-func (c *crowd) restartAll(workers int) {
+func (c *loadedPool) restartAll(workers int) {
 	for i := range workers {
-		order := control.HoldOrder{Worker: fmt.Sprintf("%016x", i*7919), Address: fmt.Sprint(i), Life: 1, Token: crowdToken << 20}
+		order := control.HoldOrder{Worker: fmt.Sprintf("%016x", i*7919), Address: fmt.Sprint(i), Life: 1, Token: poolToken << 20}
 		c.core.Held(order, control.HoldAnswer{Verdict: control.Unanswered}, c.now, c.now)
 		c.core.Held(order, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 1, Born: c.now.UnixMilli()}, c.now, c.now)
 	}
@@ -24,11 +24,11 @@
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			for range b.N {
 				b.StopTimer()
-				c := newCrowd(workers)
+				c := newLoadedPool(workers)
 				c.fill(workers, 0)
 				for range 3 {
 					c.round()
-					c.holds()
+					c.renewAll()
 				}
 				b.StartTimer()
 				c.restartAll(workers)
--- a/workload/control/outage_days_test.go
+++ b/workload/control/outage_days_test.go
@@ -18,18 +18,18 @@
 // playOutageDay has 120 workers in racks of eight, of which four tenths start again under their
 // ids six times in 72 s, and a load of wide gangs, quotes and checks of two steps meanwhile; it
 // goes on for as long after.
-func playOutageDay(t *testing.T, seed int64, horizon time.Duration) *scene {
-	s := &scene{world: newWorld(seed, false)}
+func playOutageDay(t *testing.T, seed int64, horizon time.Duration) *scenario {
+	s := &scenario{simulation: newSimulation(seed, false)}
 	for i := 6; i < 120; i++ {
 		id := fmt.Sprintf("w%03d", i)
-		s.shownBorn[id] = s.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 128000, Accelerators: 8}, 1, s.now).Born
+		s.listedBorn[id] = s.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 128000, Accelerators: 8}, 1, s.now).Born
 	}
 	s.fleet.Work = func(id workload.TaskID, run int64, _ string) workertest.Work {
-		step, _ := s.step(id)
+		step, _ := s.lookUpStep(id)
 		return workertest.Work{Takes: time.Duration(step.EstimateMS) * time.Millisecond, Fails: (int64(id.Index)+run)%50 == 0}
 	}
-	s.writeMost, s.waits = 150*time.Millisecond, true
-	s.claim(nil)
+	s.maxWriteTime, s.longPoll = 150*time.Millisecond, true
+	s.startPlanner(nil)
 	outages := []time.Duration{5500 * time.Millisecond, 19 * time.Second, 34 * time.Second, 43 * time.Second, 57 * time.Second, 72 * time.Second}
 	began := s.now
 	for i := 0; s.now.Sub(began) < horizon; i++ {
@@ -40,17 +40,17 @@
 			outages = outages[1:]
 			for _, id := range sortedIDs(s.fleet.Workers) {
 				if s.rng.Float64() < 0.4 {
-					s.cut[id] = s.now.Add(time.Second)
-					s.restart(id, time.Duration(400+s.rng.Intn(600))*time.Millisecond)
+					s.unreachableUntil[id] = s.now.Add(time.Second)
+					s.restartWorker(id, time.Duration(400+s.rng.Intn(600))*time.Millisecond)
 				}
 			}
 		}
-		s.pass(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 	}
 	return s
 }
 
-func (s *scene) addOfDay(i int) {
+func (s *scenario) addOfDay(i int) {
 	id := workload.JobID(fmt.Sprintf("%c%015x", 'a'+i%6, i))
 	big := workload.Resources{MilliCPU: 13000, MemoryMiB: 53000, Accelerators: 8}
 	small := workload.Resources{MilliCPU: 2800, MemoryMiB: 11000, Accelerators: 1}
@@ -72,13 +72,13 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			s := playOutageDay(t, seed, 110*time.Second)
-			if len(s.problems) > 0 {
-				t.Error(s.problems)
+			if len(s.violations) > 0 {
+				t.Error(s.violations)
 			}
-			if len(s.unsettled) > 0 {
-				t.Errorf("nothing settles %v", s.unsettled)
+			if len(s.unsettledRuns) > 0 {
+				t.Errorf("nothing settles %v", s.unsettledRuns)
 			}
-			if open := s.open(); len(open) > 0 {
+			if open := s.unfinished(); len(open) > 0 {
 				t.Errorf("jobs have not ended 38 s after the last outage: %v", open)
 			}
 		})
--- a/workload/control/outages_test.go
+++ b/workload/control/outages_test.go
@@ -37,10 +37,10 @@
 
 // A crash that comes with many others is no evidence, also where those are noticed after it.
 func TestACrashIsWeighedAgainOnceTheOthersAreNoticed(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	s.round()
 	s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Gone}, s.now, s.now)
-	task := s.c.jobs[s.id].progress.Find(s.first(0))
+	task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
 	if task.Crashes != 1 || task.Evidence() != 1 {
 		t.Fatalf("%d crashes, of which %d point at the task", task.Crashes, task.Evidence())
 	}
@@ -68,13 +68,13 @@
 		{crashes: 3, others: unsettledLeast, perpetual: true, waits: 4 * time.Second},
 	} {
 		t.Run(fmt.Sprintf("%d crashes, %d others, perpetual %t", c.crashes, c.others, c.perpetual), func(t *testing.T) {
-			s := newCutOffScene(false)
+			s := newCutOffScenario(false)
 			j := s.c.jobs[s.id]
 			j.Steps[0].Perpetual = c.perpetual
 			s.c.Round(s.now, s.now.UnixMilli())
 			for i := range j.progress.Open[0].Steps[0] {
-				s.c.settleRun(s.c.runs[s.first(i)], EndStopped, "")
-				*j.progress.Find(s.first(i)) = workload.Task{Run: 1, Crashes: c.crashes, CrashMS: 2000, CrashRun: 1, Excluded: c.crashes}
+				s.c.settleRun(s.c.runs[s.firstStepTask(i)], EndStopped, "")
+				*j.progress.Find(s.firstStepTask(i)) = workload.Task{Run: 1, Crashes: c.crashes, CrashMS: 2000, CrashRun: 1, Excluded: c.crashes}
 			}
 			j.suspected = true
 			s.c.pendingStarts = nil
@@ -84,7 +84,7 @@
 			}
 			outage := s.now
 			for len(s.round()) == 0 {
-				s.hold("w0", nil, nil)
+				s.renew("w0", nil, nil)
 				if s.now = s.now.Add(100 * time.Millisecond); s.now.Sub(outage) > time.Minute {
 					t.Fatal("nothing begins")
 				}
@@ -99,14 +99,14 @@
 // Guards against jobs that crash their workers in one moment taking innocent ones along: together
 // they look like an outage, whose crashes are no evidence.
 func TestATaskUnderExcludedCrashesIsKeptApart(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	j := s.c.jobs[s.id]
 	s.c.Round(s.now, s.now.UnixMilli())
 	for i := range j.progress.Open[0].Steps[0] {
-		s.c.settleRun(s.c.runs[s.first(i)], EndStopped, "")
+		s.c.settleRun(s.c.runs[s.firstStepTask(i)], EndStopped, "")
 	}
 	s.c.pendingStarts = nil
-	*j.progress.Find(s.first(0)) = workload.Task{Run: 1, Crashes: 2, CrashMS: 100, CrashRun: 1, Excluded: 2}
+	*j.progress.Find(s.firstStepTask(0)) = workload.Task{Run: 1, Crashes: 2, CrashMS: 100, CrashRun: 1, Excluded: 2}
 	j.suspected = true
 	s.now = s.now.Add(time.Minute)
 	j.waitedUnsettledAt = s.now
@@ -125,11 +125,11 @@
 // Guards against a gang's member that crashes its workers in the moments of outages having a run
 // more for each.
 func TestAnExcludedCrashCountsAgainstTheBound(t *testing.T) {
-	s := newCutOffScene(true)
+	s := newCutOffScenario(true)
 	s.round()
-	task := s.c.jobs[s.id].progress.Find(s.first(0))
+	task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
 	*task = workload.Task{Phase: workload.Placed, Worker: "w0", Run: 1, Crashes: maxCrashes, Excluded: maxCrashes, CrashMS: 2000}
-	s.hold("w0", nil, []EndedRow{{Number: 1, Task: s.first(0), Run: 1, How: EndBroken}})
+	s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndBroken}})
 	if state := s.c.jobs[s.id].progress.State; state != workload.Failed {
 		t.Errorf("the job is %s after a run that followed %d crashes", state, maxCrashes)
 	}
@@ -151,12 +151,12 @@
 		{exonerated: 2, run: 5, want: workload.Running},
 	} {
 		t.Run(fmt.Sprintf("%d crashes, %d exonerated, run %d", c.crashes, c.exonerated, c.run), func(t *testing.T) {
-			s := newCutOffScene(true)
+			s := newCutOffScenario(true)
 			s.round()
-			task := s.c.jobs[s.id].progress.Find(s.first(0))
+			task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
 			*task = workload.Task{Phase: workload.Placed, Worker: "w0", Run: c.run, Crashes: c.crashes, Exonerated: c.exonerated, CrashMS: 2000, CrashRun: 3}
-			s.c.runs[s.first(0)].run = c.run
-			s.hold("w0", nil, []EndedRow{{Number: 1, Task: s.first(0), Run: c.run, How: EndBroken}})
+			s.c.runs[s.firstStepTask(0)].run = c.run
+			s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: c.run, How: EndBroken}})
 			if state := s.c.jobs[s.id].progress.State; state != c.want {
 				t.Errorf("the job is %s, want %s", state, c.want)
 			}
@@ -167,9 +167,9 @@
 // The bound holds whatever verdicts say: a task under each of whose crashes another job was given
 // up is given up at the fourth.
 func TestVerdictsOverEachCrashDontEndTheBound(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	s.round()
-	id := s.first(0)
+	id := s.firstStepTask(0)
 	j, l := s.c.jobs[s.id], s.c.runs[id]
 	other := workload.TaskID{Job: "00000000000000bb"}
 	for run := int64(1); run <= maxCrashes+1; run++ {
--- a/workload/control/pool_lost_test.go
+++ b/workload/control/pool_lost_test.go
@@ -44,36 +44,36 @@
 // each so often; 0 is never.
 func (loss poolLoss) play(t *testing.T, seed int64, succession time.Duration) {
 	const takes = 6 * time.Second
-	s := newFullScene(takes)
+	s := newLargeScenario(takes)
 	s.rng.Seed(seed)
-	s.crashing(map[workload.JobID]time.Duration{crasher(0): 800 * time.Millisecond, crasher(1): 800 * time.Millisecond}, 800*time.Millisecond)
+	s.enableCrashes(map[workload.JobID]time.Duration{crashingJob(0): 800 * time.Millisecond, crashingJob(1): 800 * time.Millisecond}, 800*time.Millisecond)
 	var innocent []workload.JobID
 	for i := range 10 {
 		innocent = append(innocent, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(4), EstimateMS: takes.Milliseconds()}))
 	}
 	for i := range 2 {
-		s.add(crasher(i), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: takes.Milliseconds()})
+		s.add(crashingJob(i), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: takes.Milliseconds()})
 	}
 	succeeded := s.now
 	for range loss.times {
-		s.pass(loss.apart)
-		s.lose(loss.share, loss.sameID)
+		s.advance(loss.apart)
+		s.crashShare(loss.share, loss.sameID)
 		if succession > 0 && s.now.Sub(succeeded) >= succession {
 			succeeded = s.now
-			s.later(300*time.Millisecond, func() { s.claim(nil) })
+			s.schedule(300*time.Millisecond, func() { s.startPlanner(nil) })
 		}
 	}
-	for i := 0; i < 60 && !s.allOver(); i++ {
-		s.pass(time.Second)
+	for i := 0; i < 60 && !s.allFinal(); i++ {
+		s.advance(time.Second)
 	}
 	s.check(t)
 	for i := range 2 {
-		if state := s.state(crasher(i)); state != workload.Failed {
-			t.Errorf("a job whose task crashed %d workers is %s", s.lives.crashes[workload.TaskID{Job: crasher(i)}], state)
+		if state := s.jobState(crashingJob(i)); state != workload.Failed {
+			t.Errorf("a job whose task crashed %d workers is %s", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
 		}
 	}
 	for _, id := range innocent {
-		if state := s.state(id); state != workload.Completed {
+		if state := s.jobState(id); state != workload.Completed {
 			t.Errorf("job %s, whose tasks crash nothing, is %s", id, state)
 		}
 	}
--- a/workload/control/protocol_test.go
+++ b/workload/control/protocol_test.go
@@ -15,14 +15,14 @@
 // Each line of what a job may ask for has a test here, on a calm world in which
 // one job or a few are submitted and the workers' events are looked at.
 
-type scene struct {
-	*world
+type scenario struct {
+	*simulation
 	events []workertest.Event
 }
 
 // newScene has six workers of 8 accelerators in two racks, and no faults.
-func newScene() *scene {
-	s := &scene{world: newWorld(1, false)}
+func newScenario() *scenario {
+	s := &scenario{simulation: newSimulation(1, false)}
 	seen := s.fleet.Seen
 	s.fleet.Seen = func(e workertest.Event) {
 		s.events = append(s.events, e)
@@ -31,30 +31,30 @@
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work {
 		return workertest.Work{Takes: 400 * time.Millisecond}
 	}
-	s.claim(nil)
+	s.startPlanner(nil)
 	return s
 }
 
-func (s *scene) add(id workload.JobID, change func(*workload.Job), steps ...workload.Step) workload.JobID {
+func (s *scenario) add(id workload.JobID, change func(*workload.Job), steps ...workload.Step) workload.JobID {
 	j := &workload.Job{
 		ID: id, Queue: "q", Spec: "spec of " + string(id), AcceptedMS: s.now.UnixMilli(), Steps: steps,
-		Terms: workload.Terms{Priority: 1, Attempts: worldAttempts, Stretch: 3, TargetMS: 1000},
+		Terms: workload.Terms{Priority: 1, Attempts: maxAttempts, Stretch: 3, TargetMS: 1000},
 	}
 	if change != nil {
 		change(j)
 	}
 	s.jobs[id] = j
-	s.order = append(s.order, string(id))
+	s.jobIDs = append(s.jobIDs, string(id))
 	return id
 }
 
-func (s *scene) pass(d time.Duration) {
+func (s *scenario) advance(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.tick(20 * time.Millisecond)
 	}
 }
 
-func (s *scene) starts(id workload.JobID) []workertest.Event {
+func (s *scenario) starts(id workload.JobID) []workertest.Event {
 	var out []workertest.Event
 	for _, e := range s.events {
 		if e.Task.Job == id && e.How == "" {
@@ -64,7 +64,7 @@
 	return out
 }
 
-func (s *scene) ends(id workload.JobID, how control.End) int {
+func (s *scenario) ends(id workload.JobID, how control.End) int {
 	n := 0
 	for _, e := range s.events {
 		if e.Task.Job == id && e.How == how {
@@ -74,10 +74,10 @@
 	return n
 }
 
-func (s *scene) check(t *testing.T) {
+func (s *scenario) check(t *testing.T) {
 	t.Helper()
-	if len(s.problems) > 0 {
-		t.Fatal(s.problems)
+	if len(s.violations) > 0 {
+		t.Fatal(s.violations)
 	}
 }
 
@@ -88,49 +88,49 @@
 }
 
 func TestStepsRunInTheirOrder(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.add(jobA, nil, workload.Step{Count: 3, Need: need(1)}, workload.Step{Count: 2, Need: need(1), DependsOn: []int{0}})
-	s.pass(3 * time.Second)
+	s.advance(3 * time.Second)
 	s.check(t)
-	if s.state(jobA) != workload.Completed || len(s.starts(jobA)) != 5 {
-		t.Fatalf("%s after %d starts", s.state(jobA), len(s.starts(jobA)))
+	if s.jobState(jobA) != workload.Completed || len(s.starts(jobA)) != 5 {
+		t.Fatalf("%s after %d starts", s.jobState(jobA), len(s.starts(jobA)))
 	}
 }
 
 func TestATaskThatFailsIsRetriedElsewhereAsOftenAsItsQueueSays(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work {
 		return workertest.Work{Takes: 100 * time.Millisecond, Fails: true}
 	}
 	s.add(jobA, nil, workload.Step{Count: 1, Need: need(1)})
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	s.check(t)
 	workers := map[string]bool{}
 	for _, e := range s.starts(jobA) {
 		workers[e.Worker] = true
 	}
-	if s.state(jobA) != workload.Failed || len(s.starts(jobA)) != worldAttempts || len(workers) != worldAttempts {
-		t.Fatalf("%s after %d starts on %d workers", s.state(jobA), len(s.starts(jobA)), len(workers))
+	if s.jobState(jobA) != workload.Failed || len(s.starts(jobA)) != maxAttempts || len(workers) != maxAttempts {
+		t.Fatalf("%s after %d starts on %d workers", s.jobState(jobA), len(s.starts(jobA)), len(workers))
 	}
 }
 
 func TestAGangFailsOnceARun(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.fleet.Work = func(_ workload.TaskID, run int64, _ string) workertest.Work {
-		return workertest.Work{Takes: 100 * time.Millisecond, Fails: run < worldAttempts}
+		return workertest.Work{Takes: 100 * time.Millisecond, Fails: run < maxAttempts}
 	}
 	s.add(jobA, nil, workload.Step{Count: 4, Need: need(2), Gang: true})
-	s.pass(6 * time.Second)
+	s.advance(6 * time.Second)
 	s.check(t)
-	if s.state(jobA) != workload.Completed {
-		t.Fatalf("%s: a run of a gang was counted more than once", s.state(jobA))
+	if s.jobState(jobA) != workload.Completed {
+		t.Fatalf("%s: a run of a gang was counted more than once", s.jobState(jobA))
 	}
 }
 
 func TestSpreadBoundsTheTasksOnAWorker(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(1), Spread: 1})
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	s.check(t)
 	per := map[string]int{}
 	for _, e := range s.starts(jobA) {
@@ -142,24 +142,24 @@
 }
 
 func TestWorkersOfAnotherServiceGetNothing(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.add(jobA, func(j *workload.Job) { j.Terms.Service = "another" }, workload.Step{Count: 1, Need: need(1)})
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	if n := len(s.starts(jobA)); n != 0 {
 		t.Fatalf("%d starts", n)
 	}
 }
 
 func TestOccurrencesBeginWhenTheyAreDueAndNotBefore(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	first := s.now.Add(700 * time.Millisecond)
 	s.add(jobA, func(j *workload.Job) {
 		j.Repetitions, j.FirstMS, j.IntervalMS = 3, first.UnixMilli(), 300
 	}, workload.Step{Count: 2, Need: need(1)})
-	s.pass(4 * time.Second)
+	s.advance(4 * time.Second)
 	s.check(t)
-	if s.state(jobA) != workload.Completed || len(s.starts(jobA)) != 6 {
-		t.Fatalf("%s after %d starts", s.state(jobA), len(s.starts(jobA)))
+	if s.jobState(jobA) != workload.Completed || len(s.starts(jobA)) != 6 {
+		t.Fatalf("%s after %d starts", s.jobState(jobA), len(s.starts(jobA)))
 	}
 	for _, e := range s.starts(jobA) {
 		due := first.Add(time.Duration(e.Task.K) * 300 * time.Millisecond)
@@ -173,13 +173,13 @@
 // can't hold.
 func TestOccurrencesThatPileUpStayWithinOneRecord(t *testing.T) {
 	const recordBytes = 262_144
-	s := newScene()
+	s := newScenario()
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Hour} }
 	s.add(jobA, func(j *workload.Job) {
 		j.Repetitions, j.FirstMS, j.IntervalMS = workload.MaxRepetitions, s.now.UnixMilli(), 1
 	}, workload.Step{Count: 700, Need: need(1)})
 	s.add(jobB, nil, workload.Step{Count: workload.MaxTasks, Need: workload.Resources{}, Checkpoint: true})
-	s.pass(200 * time.Millisecond)
+	s.advance(200 * time.Millisecond)
 	for _, id := range []workload.JobID{jobA, jobB} {
 		if n := len(s.log[workload.ProgressKey(id)]); n == 0 || n > recordBytes {
 			t.Fatalf("the progress of %s has %d bytes", id, n)
@@ -188,16 +188,16 @@
 }
 
 func TestTasksThatLastAreRestartedHoweverTheyEnd(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.add(jobA, nil, workload.Step{Count: 2, Need: need(1), Perpetual: true})
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	for id := range s.fleet.Workers {
 		if s.fleet.Workers[id].Running() > 0 {
 			s.fleet.Kill(id, s.now)
 			break
 		}
 	}
-	s.pass(20 * time.Second)
+	s.advance(20 * time.Second)
 	s.check(t)
 	running := 0
 	for _, w := range s.fleet.Workers {
@@ -206,28 +206,28 @@
 	if running != 2 {
 		t.Fatalf("%d tasks run", running)
 	}
-	s.cancels[jobA] = s.now
-	s.pass(2 * time.Second)
-	if s.state(jobA) != workload.Cancelled {
-		t.Fatalf("%s after its cancellation", s.state(jobA))
+	s.cancelledAt[jobA] = s.now
+	s.advance(2 * time.Second)
+	if s.jobState(jobA) != workload.Cancelled {
+		t.Fatalf("%s after its cancellation", s.jobState(jobA))
 	}
 }
 
 func TestACancelledJobStopsAndStartsNoMore(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Minute} }
 	s.add(jobA, nil, workload.Step{Count: 3, Need: need(1)}, workload.Step{Count: 1, Need: need(1), DependsOn: []int{0}})
-	s.pass(time.Second)
-	s.cancels[jobA] = s.now
-	s.pass(time.Second)
+	s.advance(time.Second)
+	s.cancelledAt[jobA] = s.now
+	s.advance(time.Second)
 	s.check(t)
-	if len(s.starts(jobA)) != 3 || s.ends(jobA, control.EndStopped) != 3 || s.state(jobA) != workload.Cancelled {
-		t.Fatalf("%d starts, %d stopped, %s", len(s.starts(jobA)), s.ends(jobA, control.EndStopped), s.state(jobA))
+	if len(s.starts(jobA)) != 3 || s.ends(jobA, control.EndStopped) != 3 || s.jobState(jobA) != workload.Cancelled {
+		t.Fatalf("%d starts, %d stopped, %s", len(s.starts(jobA)), s.ends(jobA, control.EndStopped), s.jobState(jobA))
 	}
 }
 
 func TestGuaranteedWorkBeginsInTimeAndBorrowersGoOnFromWhatTheySaved(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, _ string) workertest.Work {
 		if id.Job == jobA {
 			return workertest.Work{Takes: 5 * time.Second}
@@ -235,18 +235,18 @@
 		return workertest.Work{Takes: 500 * time.Millisecond}
 	}
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(8), Checkpoint: true, EstimateMS: 5000})
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 2, Need: need(8), Gang: true, SameRack: true, EstimateMS: 500})
 	asked := s.now
-	s.pass(15 * time.Second)
+	s.advance(15 * time.Second)
 	s.check(t)
 	for _, e := range s.starts(jobB) {
-		if e.At.Sub(asked) > worldBounds.ReclaimWithin {
+		if e.At.Sub(asked) > simBounds.ReclaimWithin {
 			t.Fatalf("guaranteed work began after %v", e.At.Sub(asked))
 		}
 	}
-	if len(s.starts(jobB)) != 2 || s.state(jobA) != workload.Completed || s.state(jobB) != workload.Completed {
-		t.Fatalf("%d starts, %s, %s", len(s.starts(jobB)), s.state(jobA), s.state(jobB))
+	if len(s.starts(jobB)) != 2 || s.jobState(jobA) != workload.Completed || s.jobState(jobB) != workload.Completed {
+		t.Fatalf("%d starts, %s, %s", len(s.starts(jobB)), s.jobState(jobA), s.jobState(jobB))
 	}
 	resumed := 0
 	for _, e := range s.starts(jobA) {
@@ -260,8 +260,8 @@
 }
 
 func TestADrainingWorkerGetsNothingNew(t *testing.T) {
-	s := newScene()
-	c := control.New(worldBounds, 1, s.now)
+	s := newScenario()
+	c := control.New(simBounds, 1, s.now)
 	c.Configure(control.Configuration{Version: 1})
 	list := s.listings()
 	for i := range list {
@@ -297,16 +297,16 @@
 		"saves at the last moment": {takes: 8 * time.Second, checkpoint: true, starts: 2, saved: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene()
+			s := newScenario()
 			s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: c.takes} }
 			s.add(jobA, nil, workload.Step{Count: 1, Need: need(8), EstimateMS: c.takes.Milliseconds(), Checkpoint: c.checkpoint})
-			s.pass(500 * time.Millisecond)
-			s.leaving = map[string]int64{s.starts(jobA)[0].Worker: 2000}
-			s.pass(12 * time.Second)
+			s.advance(500 * time.Millisecond)
+			s.drainRemainingMS = map[string]int64{s.starts(jobA)[0].Worker: 2000}
+			s.advance(12 * time.Second)
 			s.check(t)
 			got := s.starts(jobA)
-			if len(got) != c.starts || s.state(jobA) != workload.Completed || (got[len(got)-1].Saved != "") != c.saved {
-				t.Fatalf("%d starts, %s, saved %q", len(got), s.state(jobA), got[len(got)-1].Saved)
+			if len(got) != c.starts || s.jobState(jobA) != workload.Completed || (got[len(got)-1].Saved != "") != c.saved {
+				t.Fatalf("%d starts, %s, saved %q", len(got), s.jobState(jobA), got[len(got)-1].Saved)
 			}
 		})
 	}
@@ -316,7 +316,7 @@
 // gave it, and must not take it for over when the worker falls silent.
 func TestAFirstAnswerMayHideAnOlderLease(t *testing.T) {
 	now := time.Unix(5000, 0)
-	c := control.New(worldBounds, 2, now)
+	c := control.New(simBounds, 2, now)
 	c.Configure(control.Configuration{Version: 1})
 	placed := []byte(`{"state":"running","begun":true,"next":1,"open":[{"s":[[{"p":1,"r":1,"w":"w"}]]}]}`)
 	c.Adopt(jobA, workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{{Count: 1, Need: need(1)}}}, Progress: placed})
@@ -334,10 +334,10 @@
 		}
 		return false
 	}
-	if lost(worldBounds.Lease - 100*time.Millisecond) {
+	if lost(simBounds.Lease - 100*time.Millisecond) {
 		t.Fatal("the run was given up while an older lease may hold it")
 	}
-	if !lost(worldBounds.Lease + worldBounds.Lease/10) {
+	if !lost(simBounds.Lease + simBounds.Lease/10) {
 		t.Fatal("the run is never given up")
 	}
 }
@@ -346,7 +346,7 @@
 // no longer entitled to send, is sent again.
 func TestAnOrderOfWhichNothingIsHeardIsSentAgain(t *testing.T) {
 	now := time.Unix(5000, 0)
-	c := control.New(worldBounds, 1, now)
+	c := control.New(simBounds, 1, now)
 	c.List([]control.Listing{{ID: "w", Address: "w", Capacity: need(8)}}, now)
 	c.Held(control.HoldOrder{Worker: "w", Token: 1}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 1000}, now, now)
 	c.Adopt(jobA, workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{{Count: 1, Need: need(1)}}}})
@@ -368,7 +368,7 @@
 
 func TestOneAccountsGuaranteeIsNotAnothers(t *testing.T) {
 	now := time.Unix(5000, 0)
-	c := control.New(worldBounds, 1, now)
+	c := control.New(simBounds, 1, now)
 	c.Configure(control.Configuration{Version: 1, Guaranteed: map[domain.AccountID]int64{"has": 8}})
 	list := []control.Listing{{ID: "w", Address: "w", Capacity: workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}}}
 	c.List(list, now)
@@ -390,10 +390,10 @@
 func TestASuccessorStopsWhatItsPredecessorMeantToStop(t *testing.T) {
 	for _, state := range []workload.State{workload.Cancelled, workload.Failed} {
 		t.Run(string(state), func(t *testing.T) {
-			s := newScene()
+			s := newScenario()
 			s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Minute} }
 			s.add(jobA, nil, workload.Step{Count: 3, Need: need(2)})
-			s.pass(time.Second)
+			s.advance(time.Second)
 			progress := workload.NewProgress()
 			if err := json.Unmarshal(s.log[workload.ProgressKey(jobA)], progress); err != nil {
 				t.Fatal(err)
@@ -405,11 +405,11 @@
 			}
 			s.log[workload.ProgressKey(jobA)] = value
 			if state == workload.Cancelled {
-				s.cancels[jobA] = s.now
+				s.cancelledAt[jobA] = s.now
 			}
-			s.seats[0].dead = true
-			s.claim(nil)
-			s.pass(3 * time.Second)
+			s.planners[0].dead = true
+			s.startPlanner(nil)
+			s.advance(3 * time.Second)
 			s.check(t)
 			if n := s.ends(jobA, control.EndStopped); n != 3 {
 				t.Fatalf("%d of 3 runs were stopped", n)
--- a/workload/control/reduced_test.go
+++ b/workload/control/reduced_test.go
@@ -8,7 +8,7 @@
 
 // A job of which only the reduced acceptance has been read is neither begun nor ended: its progress is not there yet.
 func TestAJobWithoutItsStepsIsLeftAlone(t *testing.T) {
-	s := newCutOffScene(false)
+	s := newCutOffScenario(false)
 	s.round()
 	book := workload.NewBook()
 	const id = workload.JobID("00000000000000bb")
--- a/workload/control/restarts_test.go
+++ b/workload/control/restarts_test.go
@@ -32,7 +32,7 @@
 // Every run that vanished later than a second after the crash was on a worker that had
 // started again: 7 of 7.
 func TestEndsOfAWorkerThatStartedAgainAreHeard(t *testing.T) {
-	newScene().playRestarts(t)
+	newScenario().runRestarts(t)
 }
 
 // Two steps of some twenty tasks could run, most of the workers' room was free, and nothing of
@@ -45,41 +45,41 @@
 // The record of the day has the two steps and no event of theirs. What settled it is this test
 // and its log: nothing is said of the run for 30 s.
 func TestARunWhoseStartHadNoAnswerIsSettledWhenItsWorkerStartsAgain(t *testing.T) {
-	s := newScene()
-	s.unanswered = map[workload.JobID]bool{jobA: true}
+	s := newScenario()
+	s.unansweredJobs = map[workload.JobID]bool{jobA: true}
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work {
 		return workertest.Work{Takes: 3 * time.Second}
 	}
 	s.add(jobA, nil, workload.Step{Count: 1, Need: need(2), EstimateMS: 3000}, workload.Step{Count: 2, Need: need(2), EstimateMS: 3000, DependsOn: []int{0}})
-	s.pass(1500 * time.Millisecond)
+	s.advance(1500 * time.Millisecond)
 	begun := s.starts(jobA)
 	if len(begun) != 1 {
 		t.Fatalf("%d starts before the restart", len(begun))
 	}
-	s.unanswered = nil
-	s.restart(begun[0].Worker, 500*time.Millisecond)
-	s.pass(30 * time.Second)
+	s.unansweredJobs = nil
+	s.restartWorker(begun[0].Worker, 500*time.Millisecond)
+	s.advance(30 * time.Second)
 	s.check(t)
-	if s.state(jobA) != workload.Completed {
-		t.Fatalf("%s after %d starts", s.state(jobA), len(s.starts(jobA)))
+	if s.jobState(jobA) != workload.Completed {
+		t.Fatalf("%s after %d starts", s.jobState(jobA), len(s.starts(jobA)))
 	}
 }
 
 // restart crashes a worker, and begins another life under its id after some time.
-func (w *world) restart(id string, away time.Duration) {
-	if w.fleet.Workers[id].Dead {
+func (sim *simulation) restartWorker(id string, away time.Duration) {
+	if sim.fleet.Workers[id].Dead {
 		return
 	}
-	w.fleet.Kill(id, w.now)
-	w.restarts[id] = w.now.Add(entryStays)
-	w.later(away, func() {
-		next := w.fleet.Restart(id, w.now)
-		if w.restarted != nil {
-			w.restarted(next)
+	sim.fleet.Kill(id, sim.now)
+	sim.entryExpiresAt[id] = sim.now.Add(entryLifetime)
+	sim.schedule(away, func() {
+		next := sim.fleet.Restart(id, sim.now)
+		if sim.onRestart != nil {
+			sim.onRestart(next)
 		}
 		born := next.Born
 		// Its first entry is there a heartbeat later at the most.
-		w.later(time.Duration(w.rng.Intn(1500))*time.Millisecond, func() { w.shownBorn[id] = born })
+		sim.schedule(time.Duration(sim.rng.Intn(1500))*time.Millisecond, func() { sim.listedBorn[id] = born })
 	})
 }
 
@@ -93,26 +93,26 @@
 }
 
 // mostRestarts is the most restarts that come in the course of a world.
-const mostRestarts = 8
+const maxRestarts = 8
 
 // newRestartWorld is a world whose workers start again under their ids, from 0.3 s to 1.8 s
 // after they have crashed.
-func newRestartWorld(seed int64, faulty bool) *world {
-	w := newWorld(seed, faulty)
-	for range 1 + w.rng.Intn(mostRestarts) {
-		w.later(time.Duration(w.rng.Intn(int(worldLasts))), func() {
-			w.restart(w.anyWorker(), time.Duration(300+w.rng.Intn(1500))*time.Millisecond)
+func newRestartSimulation(seed int64, faulty bool) *simulation {
+	sim := newSimulation(seed, faulty)
+	for range 1 + sim.rng.Intn(maxRestarts) {
+		sim.schedule(time.Duration(sim.rng.Intn(int(faultPeriod))), func() {
+			sim.restartWorker(sim.randomWorker(), time.Duration(300+sim.rng.Intn(1500))*time.Millisecond)
 		})
 	}
-	return w
+	return sim
 }
 
 // worldLasts is about how long a world has faults.
-const worldLasts = steps * 35 * time.Millisecond
+const faultPeriod = simSteps * 35 * time.Millisecond
 
 // brokenWorlds plays worlds, as many at once as there are processors, and returns what broke
 // in those that did, by seed.
-func brokenWorlds(worlds int, begin func(seed int64) *world) []string {
+func simulationViolations(worlds int, begin func(seed int64) *simulation) []string {
 	first := make([]string, worlds)
 	var group sync.WaitGroup
 	turns := make(chan bool, runtime.GOMAXPROCS(0))
@@ -121,9 +121,9 @@
 		group.Go(func() {
 			defer func() { <-turns }()
 			w := begin(int64(seed))
-			w.playAll(nil)
-			if len(w.problems) > 0 {
-				first[seed] = fmt.Sprintf("seed %d: %s", seed, w.problems[0])
+			w.run(nil)
+			if len(w.violations) > 0 {
+				first[seed] = fmt.Sprintf("seed %d: %s", seed, w.violations[0])
 			}
 		})
 	}
@@ -136,16 +136,16 @@
 func TestLivesUnderOneNameBreakNothing(t *testing.T) {
 	for name, faulty := range map[string]bool{"calm but for the restarts": false, "beside other troubles": true} {
 		t.Run(name, func(t *testing.T) {
-			broken := brokenWorlds(restartWorlds, func(seed int64) *world { return newRestartWorld(seed, faulty) })
+			broken := simulationViolations(restartSeeds, func(seed int64) *simulation { return newRestartSimulation(seed, faulty) })
 			if len(broken) > 0 {
-				t.Fatalf("%d of %d worlds broke: %v", len(broken), restartWorlds, broken[:min(len(broken), 5)])
+				t.Fatalf("%d of %d worlds broke: %v", len(broken), restartSeeds, broken[:min(len(broken), 5)])
 			}
 		})
 	}
 }
 
 // restartWorlds is how many worlds of each sort are played.
-const restartWorlds = 300
+const restartSeeds = 300
 
 // More seeds of the same worlds: RESTART_WORLDS=2000 plays so many in place of those that CI does,
 // with the fencing tokens raised by silences and without, which the connections make up for.
@@ -157,10 +157,10 @@
 		}
 	}
 	const first = 904_170_000
-	for name, m := range map[string]mutant{"tokens raised": {}, "tokens not raised": {unraised: true}} {
+	for name, m := range map[string]mutant{"tokens raised": {}, "tokens not raised": {constantTokens: true}} {
 		t.Run(name, func(t *testing.T) {
-			broken := brokenWorlds(worlds, func(seed int64) *world {
-				w := newRestartWorld(first+seed, true)
+			broken := simulationViolations(worlds, func(seed int64) *simulation {
+				w := newRestartSimulation(first+seed, true)
 				w.mutant = m
 				return w
 			})
@@ -173,7 +173,7 @@
 
 // The same worlds with no other trouble and other seeds, which are green.
 func TestRestartsUnderOneNameAloneBreakNothing(t *testing.T) {
-	broken := brokenWorlds(restartWorlds/3, func(seed int64) *world { return newRestartWorld(restartWorlds+seed, false) })
+	broken := simulationViolations(restartSeeds/3, func(seed int64) *simulation { return newRestartSimulation(restartSeeds+seed, false) })
 	if len(broken) > 0 {
 		t.Fatalf("%d worlds broke: %v", len(broken), broken)
 	}
@@ -183,29 +183,29 @@
 func TestALifeIsKnownByItsClockWhereItsBirthTellsNothing(t *testing.T) {
 	for name, born := range map[string]int64{"one birth": 7, "none": 0} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene()
+			s := newScenario()
 			for _, w := range s.fleet.Workers {
 				w.Born = born
 			}
-			s.restarted = func(w *workertest.Worker) { w.Born = born }
-			s.playRestarts(t)
+			s.onRestart = func(w *workertest.Worker) { w.Born = born }
+			s.runRestarts(t)
 		})
 	}
 }
 
 // playRestarts has all workers start again between two jobs, whose tasks run once each.
-func (s *scene) playRestarts(t *testing.T) {
+func (s *scenario) runRestarts(t *testing.T) {
 	t.Helper()
 	s.add(jobA, nil, workload.Step{Count: 24, Need: need(2), EstimateMS: 400})
-	s.pass(3 * time.Second)
+	s.advance(3 * time.Second)
 	for _, id := range sortedIDs(s.fleet.Workers) {
-		s.restart(id, 500*time.Millisecond)
+		s.restartWorker(id, 500*time.Millisecond)
 	}
-	s.pass(1500 * time.Millisecond)
+	s.advance(1500 * time.Millisecond)
 	s.add(jobB, nil, workload.Step{Count: 24, Need: need(2), EstimateMS: 400})
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	s.check(t)
-	if n := len(s.starts(jobB)); s.state(jobB) != workload.Completed || n != 24 {
-		t.Fatalf("%d starts of 24 tasks, and the job is %s", n, s.state(jobB))
+	if n := len(s.starts(jobB)); s.jobState(jobB) != workload.Completed || n != 24 {
+		t.Fatalf("%d starts of 24 tasks, and the job is %s", n, s.jobState(jobB))
 	}
 }
--- a/workload/control/retry_test.go
+++ b/workload/control/retry_test.go
@@ -11,7 +11,7 @@
 
 // retried plays one guaranteed gang until its first run has failed after a time, and
 // returns what the next plan is made of.
-func retried(t *testing.T, ran time.Duration) (now time.Time, u decide.Unit) {
+func planAfterFailure(t *testing.T, ran time.Duration) (now time.Time, u decide.Unit) {
 	var last *decide.Snapshot
 	now = time.Unix(1000, 0)
 	wall := func() int64 { return now.UnixMilli() }
@@ -56,7 +56,7 @@
 // starts at once, and is not taken for hopeless.
 func TestTheTimeOfARunThatFailedIsOwedToItsJob(t *testing.T) {
 	const ran = 2 * time.Second
-	now, u := retried(t, ran)
+	now, u := planAfterFailure(t, ran)
 	// 1.5 times both runs and 0.25 s, less the run to come.
 	want := now.Add(-ran).Add(3*(ran+2*time.Second)/2 + 250*time.Millisecond - 2*time.Second)
 	if off := u.LatestStart.Sub(want); off < -50*time.Millisecond || off > 50*time.Millisecond {
@@ -67,7 +67,7 @@
 // A guaranteed gang that had begun and comes back waits for a good place as it did
 // at first.
 func TestAGangThatComesBackBeginsToWaitAnew(t *testing.T) {
-	now, u := retried(t, 10*time.Second)
+	now, u := planAfterFailure(t, 10*time.Second)
 	if !u.Since.Equal(now) {
 		t.Fatalf("has waited for %v", now.Sub(u.Since))
 	}
--- a/workload/control/rooms_test.go
+++ b/workload/control/rooms_test.go
@@ -10,71 +10,71 @@
 
 // rooms are what each worker of a world had, and when: a worker's capacity shrinks and grows
 // while it runs, and its entry in the list shows it a little later.
-type rooms struct {
-	history map[string][]roomAt
-	lag     time.Duration
+type capacityModel struct {
+	history map[string][]capacityAt
+	readLag time.Duration
 }
 
-type roomAt struct {
+type capacityAt struct {
 	at time.Time
 	workload.Resources
 }
 
 // shownFor is how long a room that has shrunk may still be counted on.
-const shownFor = 3*time.Second + 1500*time.Millisecond
+const staleCapacityLimit = 3*time.Second + 1500*time.Millisecond
 
 // newRoomWorld has workers that start whatever they are told, and whose rooms change.
-func newRoomWorld(seed int64) *world {
-	w := newWorld(seed, true)
-	w.rooms = rooms{history: map[string][]roomAt{}, lag: time.Duration(w.rng.Intn(1500)) * time.Millisecond}
-	for id, one := range w.fleet.Workers {
+func newCapacitySimulation(seed int64) *simulation {
+	sim := newSimulation(seed, true)
+	sim.capacities = capacityModel{history: map[string][]capacityAt{}, readLag: time.Duration(sim.rng.Intn(1500)) * time.Millisecond}
+	for id, one := range sim.fleet.Workers {
 		one.Unguarded = true
-		w.rooms.history[id] = []roomAt{{w.now, one.Capacity}}
+		sim.capacities.history[id] = []capacityAt{{sim.now, one.Capacity}}
 	}
-	return w
+	return sim
 }
 
 // changeRooms lets a worker's room shrink or grow now and then.
-func (w *world) changeRooms() {
-	if w.rooms.history == nil || w.rng.Intn(15) > 0 {
+func (sim *simulation) changeCapacity() {
+	if sim.capacities.history == nil || sim.rng.Intn(15) > 0 {
 		return
 	}
-	id := w.anyWorker()
-	one := w.fleet.Workers[id]
-	part := int64(w.rng.Intn(5))
-	if len(w.rooms.history[id]) == 0 {
-		w.rooms.history[id] = []roomAt{{time.Unix(0, 0), one.Capacity}}
+	id := sim.randomWorker()
+	one := sim.fleet.Workers[id]
+	part := int64(sim.rng.Intn(5))
+	if len(sim.capacities.history[id]) == 0 {
+		sim.capacities.history[id] = []capacityAt{{time.Unix(0, 0), one.Capacity}}
 	}
 	one.Unguarded = true
 	one.Capacity = workload.Resources{MilliCPU: 8000 * part, MemoryMiB: 16000 * part, Accelerators: 2 * part}
-	w.rooms.history[id] = append(w.rooms.history[id], roomAt{w.now, one.Capacity})
+	sim.capacities.history[id] = append(sim.capacities.history[id], capacityAt{sim.now, one.Capacity})
 }
 
 // wholeRooms gives every worker all of its room again.
-func (w *world) wholeRooms() {
-	for id, history := range w.rooms.history {
-		one := w.fleet.Workers[id]
+func (sim *simulation) restoreCapacities() {
+	for id, history := range sim.capacities.history {
+		one := sim.fleet.Workers[id]
 		one.Capacity = workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}
-		w.rooms.history[id] = append(history, roomAt{w.now, one.Capacity})
+		sim.capacities.history[id] = append(history, capacityAt{sim.now, one.Capacity})
 	}
 }
 
 // logTakes is how long the log takes to answer a planner in a world of rooms.
-func (w *world) logTakes() time.Duration {
-	if w.writeMost > 0 {
-		return time.Duration(w.rng.Int63n(int64(w.writeMost)))
+func (sim *simulation) logWriteTime() time.Duration {
+	if sim.maxWriteTime > 0 {
+		return time.Duration(sim.rng.Int63n(int64(sim.maxWriteTime)))
 	}
-	if w.rooms.history == nil || !w.faulty || w.rng.Intn(4) > 0 {
+	if sim.capacities.history == nil || !sim.faulty || sim.rng.Intn(4) > 0 {
 		return 0
 	}
-	return time.Duration(w.rng.Intn(8000)) * time.Millisecond
+	return time.Duration(sim.rng.Intn(8000)) * time.Millisecond
 }
 
 // shown is the capacity that the list shows of a worker.
-func (r *rooms) shown(id string, now workload.Resources, at time.Time) workload.Resources {
+func (m *capacityModel) listed(id string, now workload.Resources, at time.Time) workload.Resources {
 	shown := now
-	for i, room := range r.history[id] {
-		if i == 0 || !room.at.After(at.Add(-r.lag)) {
+	for i, room := range m.history[id] {
+		if i == 0 || !room.at.After(at.Add(-m.readLag)) {
 			shown = room.Resources
 		}
 	}
@@ -82,20 +82,20 @@
 }
 
 // seeRoom checks a start against the rooms that it may count on.
-func (w *world) seeRoom(e workertest.Event) {
-	if w.rooms.history == nil {
+func (sim *simulation) checkCapacity(e workertest.Event) {
+	if sim.capacities.history == nil {
 		return
 	}
-	one := w.fleet.Workers[e.Worker]
-	history := w.rooms.history[e.Worker]
+	one := sim.fleet.Workers[e.Worker]
+	history := sim.capacities.history[e.Worker]
 	for i, room := range history {
-		over := i+1 < len(history) && history[i+1].at.Before(w.now.Add(-shownFor))
+		over := i+1 < len(history) && history[i+1].at.Before(sim.now.Add(-staleCapacityLimit))
 		if !over && one.Held().Fits(room.Resources) {
 			return
 		}
 	}
-	if len(history) > 0 && !w.late[e.Worker+e.Task.String()] {
-		w.problem("%v run %d begins on %s, which has %v and holds %v", e.Task, e.Run, e.Worker, one.Capacity, one.Held())
+	if len(history) > 0 && !sim.delayedStarts[e.Worker+e.Task.String()] {
+		sim.violation("%v run %d begins on %s, which has %v and holds %v", e.Task, e.Run, e.Worker, one.Capacity, one.Held())
 	}
 }
 
@@ -109,11 +109,11 @@
 	}
 	starts := 0
 	for seed := range worlds {
-		w := newRoomWorld(int64(seed))
-		w.playAll(nil)
-		starts += w.starts
-		if len(w.problems) > 0 {
-			t.Errorf("seed %d: %v", seed, w.problems)
+		w := newCapacitySimulation(int64(seed))
+		w.run(nil)
+		starts += w.startCount
+		if len(w.violations) > 0 {
+			t.Errorf("seed %d: %v", seed, w.violations)
 		}
 	}
 	t.Logf("%d worlds, %d starts", worlds, starts)
--- a/workload/control/round_bench_test.go
+++ b/workload/control/round_bench_test.go
@@ -16,7 +16,7 @@
 // gangs of 8 tasks, and steps of 78 single tasks.
 
 // crowd is a planner's core over a full pool.
-type crowd struct {
+type loadedPool struct {
 	core *control.Core
 	now  time.Time
 	rng  *rand.Rand
@@ -27,14 +27,14 @@
 	runs map[string][]control.RunningRow
 }
 
-const crowdToken = 5
+const poolToken = 5
 
-func newCrowd(workers int) *crowd {
-	c := &crowd{now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewSource(1)), ends: map[string]int64{}, runs: map[string][]control.RunningRow{}}
+func newLoadedPool(workers int) *loadedPool {
+	c := &loadedPool{now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewSource(1)), ends: map[string]int64{}, runs: map[string][]control.RunningRow{}}
 	c.core = control.New(control.Bounds{
 		Lease: 6 * time.Second, Authority: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second,
 		ReclaimWithin: 2900 * time.Millisecond, FarFactor: 3, Restore: 600 * time.Millisecond, Wait: 1500 * time.Millisecond,
-	}, crowdToken, c.now)
+	}, poolToken, c.now)
 	config := control.Configuration{Version: 1, Queues: map[string]workload.Terms{}, Guaranteed: map[domain.AccountID]int64{}}
 	for i, queue := range []string{"quote", "forecast", "check"} {
 		config.Queues[queue] = workload.Terms{Service: "pool", Priority: i, Attempts: 2, Stretch: []float64{1.5, 3, 3}[i], TargetMS: []int64{250, 1000, 3000}[i]}
@@ -51,12 +51,12 @@
 		})
 	}
 	c.core.List(list, c.now)
-	c.holds()
+	c.renewAll()
 	return c
 }
 
 // holds lets every worker answer with what runs there.
-func (c *crowd) holds() {
+func (c *loadedPool) renewAll() {
 	for _, id := range c.core.NeedsHold(c.now) {
 		if o, ok := c.core.Hold(id, c.now); ok {
 			c.core.Held(o, control.HoldAnswer{Verdict: control.Accepted, ClockMS: c.now.UnixMilli() % 1_000_000, Running: c.runs[id]}, c.now, c.now)
@@ -65,7 +65,7 @@
 }
 
 // submit hands in a job of a class.
-func (c *crowd) submit(class int) {
+func (c *loadedPool) submit(class int) {
 	c.jobs++
 	id := workload.JobID(fmt.Sprintf("%016x", c.jobs))
 	gpu := []int64{1, 2, 4, 8, 8}[c.rng.Intn(5)]
@@ -81,7 +81,7 @@
 }
 
 // round decides, writes, and lets workers accept what they are told.
-func (c *crowd) round() {
+func (c *loadedPool) round() {
 	c.core.Round(c.now, c.now.UnixMilli())
 	c.core.Changes()
 	c.core.Notes()
@@ -94,12 +94,12 @@
 
 // fill submits work of the later priorities until some units wait, then some of
 // all priorities.
-func (c *crowd) fill(workers, waiting int) {
+func (c *loadedPool) fill(workers, waiting int) {
 	for i := range workers / 4 {
 		c.submit(1 + i%2)
 		if i%20 == 0 {
 			c.round()
-			c.holds()
+			c.renewAll()
 		}
 	}
 	for i := range waiting {
@@ -111,7 +111,7 @@
 	for _, workers := range []int{350, 1100, 3000} {
 		for _, waiting := range []int{0, 500} {
 			b.Run(fmt.Sprintf("workers=%d/waiting=%d", workers, waiting), func(b *testing.B) {
-				c := newCrowd(workers)
+				c := newLoadedPool(workers)
 				c.fill(workers, waiting)
 				for range 3 {
 					c.round()
@@ -125,18 +125,18 @@
 }
 
 // fleetRuns is how many runs a calm pool has for each worker: three of four are idle.
-const fleetRuns = 0.37
+const idlePoolRuns = 0.37
 
 // newCalmPool has a pool of which most is idle, and nothing that waits.
-func newCalmPool(workers int) *crowd {
-	c := newCrowd(workers)
-	for tasks := 0.0; tasks < fleetRuns*float64(workers); tasks += 26 {
+func newIdlePool(workers int) *loadedPool {
+	c := newLoadedPool(workers)
+	for tasks := 0.0; tasks < idlePoolRuns*float64(workers); tasks += 26 {
 		c.submit(1)
 		c.round()
-		c.holds()
+		c.renewAll()
 	}
 	c.round()
-	c.holds()
+	c.renewAll()
 	return c
 }
 
@@ -144,7 +144,7 @@
 func BenchmarkCalmRound(b *testing.B) {
 	for _, workers := range []int{350, 1100, 6000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			c := newCalmPool(workers)
+			c := newIdlePool(workers)
 			for b.Loop() {
 				c.round()
 			}
@@ -156,7 +156,7 @@
 func BenchmarkLook(b *testing.B) {
 	for _, workers := range []int{350, 1100, 6000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			c := newCalmPool(workers)
+			c := newIdlePool(workers)
 			for b.Loop() {
 				c.core.NeedsHold(c.now)
 			}
@@ -168,7 +168,7 @@
 func BenchmarkOneWaits(b *testing.B) {
 	for _, workers := range []int{350, 1100, 6000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			c := newCalmPool(workers)
+			c := newIdlePool(workers)
 			for b.Loop() {
 				c.submit(0)
 				c.round()
--- a/workload/control/speeds_test.go
+++ b/workload/control/speeds_test.go
@@ -10,11 +10,11 @@
 
 // speedScene runs tasks on workers of which w0 takes half as long as the others
 // and w5 twice as long.
-func speedScene() *scene { return newSpeedScene(false) }
+func newSingleTaskSpeedScenario() *scenario { return newSpeedScenario(false) }
 
 // newSpeedScene has it learnt from gangs, or from single tasks.
-func newSpeedScene(gangs bool) *scene {
-	s := newScene()
+func newSpeedScenario(gangs bool) *scenario {
+	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, worker string) workertest.Work {
 		takes := 4 * time.Second
 		if id.Job == jobB {
@@ -31,14 +31,14 @@
 	for i := range 6 {
 		s.add(workload.JobID("aaaaaaaaaaaaaaa"+string(rune('0'+i))), nil, workload.Step{Count: 12, Gang: gangs, Need: need(2), EstimateMS: 4000, Spread: 2})
 	}
-	s.pass(30 * time.Second)
+	s.advance(30 * time.Second)
 	return s
 }
 
 func TestTheFirstPriorityRunsOnTheFasterWorkersOnceTheyAreKnown(t *testing.T) {
-	s := speedScene()
+	s := newSingleTaskSpeedScenario()
 	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 1, Need: need(4), EstimateMS: 1000})
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	s.check(t)
 	if got := s.starts(jobB); len(got) != 1 || got[0].Worker != "w0" {
 		t.Fatalf("%+v", got)
@@ -48,9 +48,9 @@
 // A gang's members get on each at their own pace, and those that have done their share wait:
 // where most work comes in gangs, they are what tells of workers.
 func TestSpeedsAreLearntFromGangs(t *testing.T) {
-	s := newSpeedScene(true)
+	s := newSpeedScenario(true)
 	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 2, Gang: true, Need: need(4), EstimateMS: 1000})
-	s.pass(8 * time.Second)
+	s.advance(8 * time.Second)
 	s.check(t)
 	for _, got := range s.starts(jobB) {
 		if got.Worker != "w0" {
@@ -60,9 +60,9 @@
 }
 
 func TestOtherWorkLeavesTheFasterWorkersFree(t *testing.T) {
-	s := speedScene()
+	s := newSingleTaskSpeedScenario()
 	s.add(jobB, nil, workload.Step{Count: 1, Need: need(4), EstimateMS: 1000})
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	s.check(t)
 	if got := s.starts(jobB); len(got) != 1 || got[0].Worker != "w5" {
 		t.Fatalf("%+v", got)
--- a/workload/control/stragglers_test.go
+++ b/workload/control/stragglers_test.go
@@ -16,14 +16,14 @@
 // was taken for one that stands still: it was stopped, its worker got nothing for a while, and
 // the whole gang began again.
 
-const tailFactor = 7
+const stragglerFactor = 7
 
 // newTailScene has gangs in each of which one task takes seven times as long.
-func newTailScene(takes time.Duration) *scene {
-	s := newScene()
+func newStragglerScenario(takes time.Duration) *scenario {
+	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, _ string) workertest.Work {
 		if id.Index == 0 {
-			return workertest.Work{Takes: tailFactor * takes}
+			return workertest.Work{Takes: stragglerFactor * takes}
 		}
 		return workertest.Work{Takes: takes}
 	}
@@ -32,12 +32,12 @@
 
 func TestAGangsMemberThatWaitsForASlowOneDoesNotStandStill(t *testing.T) {
 	const takes = 2500 * time.Millisecond
-	s := newTailScene(takes)
+	s := newStragglerScenario(takes)
 	s.add(jobA, nil, workload.Step{Count: 5, Gang: true, Need: need(2), EstimateMS: takes.Milliseconds()})
-	s.pass(tailFactor*takes + 4*time.Second)
+	s.advance(stragglerFactor*takes + 4*time.Second)
 	s.check(t)
-	if n := len(s.starts(jobA)); n != 5 || s.state(jobA) != workload.Completed {
-		t.Fatalf("%d starts of 5 tasks, and the job is %s", n, s.state(jobA))
+	if n := len(s.starts(jobA)); n != 5 || s.jobState(jobA) != workload.Completed {
+		t.Fatalf("%d starts of 5 tasks, and the job is %s", n, s.jobState(jobA))
 	}
 }
 
@@ -45,7 +45,7 @@
 // one whose slow member does.
 func TestAGangThatStandsStillIsStopped(t *testing.T) {
 	const takes = 2500 * time.Millisecond
-	s := newTailScene(takes)
+	s := newStragglerScenario(takes)
 	work, hangs := s.fleet.Work, true
 	s.fleet.Work = func(id workload.TaskID, run int64, worker string) workertest.Work {
 		out := work(id, run, worker)
@@ -59,12 +59,12 @@
 		}
 	}
 	s.add(jobA, nil, workload.Step{Count: 5, Gang: true, Need: need(2), EstimateMS: takes.Milliseconds()})
-	s.pass(20 * time.Second)
+	s.advance(20 * time.Second)
 	hangs = false
-	s.pass(40 * time.Second)
+	s.advance(40 * time.Second)
 	s.check(t)
-	if n := len(s.starts(jobA)); n <= 5 || s.state(jobA) != workload.Completed {
-		t.Fatalf("%d starts, and the job is %s", n, s.state(jobA))
+	if n := len(s.starts(jobA)); n <= 5 || s.jobState(jobA) != workload.Completed {
+		t.Fatalf("%d starts, and the job is %s", n, s.jobState(jobA))
 	}
 	if told == 0 {
 		t.Fatal("nothing was said of the member that stands still")
--- a/workload/control/together_test.go
+++ b/workload/control/together_test.go
@@ -16,11 +16,11 @@
 // the same moment that had never run the task.
 
 // newFullScene has 48 workers in racks of eight, whose runs take so long.
-func newFullScene(takes time.Duration) *scene {
-	s := newScene()
+func newLargeScenario(takes time.Duration) *scenario {
+	s := newScenario()
 	for i := 6; i < 48; i++ {
 		id := fmt.Sprintf("w%02d", i)
-		s.shownBorn[id] = s.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}, 1, s.now).Born
+		s.listedBorn[id] = s.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}, 1, s.now).Born
 	}
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: takes} }
 	return s
@@ -28,7 +28,7 @@
 
 // playOutages lets jobs come for a time and a part of the workers crash at once every few
 // seconds; it returns the jobs that crash nothing.
-func (s *scene) playOutages(takes time.Duration, share float64, outages int, crash func(id string)) []workload.JobID {
+func (s *scenario) playOutages(takes time.Duration, share float64, outages int, crash func(id string)) []workload.JobID {
 	var jobs []workload.JobID
 	for i := range 60 {
 		jobs = append(jobs, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(4), EstimateMS: takes.Milliseconds()}))
@@ -39,9 +39,9 @@
 				}
 			}
 		}
-		s.pass(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 	}
-	s.pass(60 * time.Second)
+	s.advance(60 * time.Second)
 	return jobs
 }
 
@@ -50,19 +50,19 @@
 		for _, sameID := range []bool{true, false} {
 			t.Run(fmt.Sprintf("runs of %v, same id %t", takes, sameID), func(t *testing.T) {
 				t.Parallel()
-				s := newFullScene(takes)
-				s.crashing(nil, 800*time.Millisecond)
+				s := newLargeScenario(takes)
+				s.enableCrashes(nil, 800*time.Millisecond)
 				jobs := s.playOutages(takes, 0.4, 4, func(id string) {
 					if sameID {
-						s.restart(id, 800*time.Millisecond)
+						s.restartWorker(id, 800*time.Millisecond)
 						return
 					}
 					s.fleet.Kill(id, s.now)
-					s.crashed(id, workload.TaskID{}, s.now)
+					s.onCrash(id, workload.TaskID{}, s.now)
 				})
 				s.check(t)
 				for _, id := range jobs {
-					if state := s.state(id); state != workload.Completed {
+					if state := s.jobState(id); state != workload.Completed {
 						t.Errorf("job %s is %s", id, state)
 					}
 				}
@@ -81,20 +81,20 @@
 			t.Run(fmt.Sprintf("share %v, same id %t", share, sameID), func(t *testing.T) {
 				t.Parallel()
 				const takes = 6 * time.Second
-				s := newFullScene(takes)
-				s.crashing(nil, 800*time.Millisecond)
+				s := newLargeScenario(takes)
+				s.enableCrashes(nil, 800*time.Millisecond)
 				var jobs []workload.JobID
 				for i := range 12 {
 					jobs = append(jobs, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(4), EstimateMS: takes.Milliseconds()}))
 				}
 				for range 7 {
-					s.pass(2500 * time.Millisecond)
-					s.lose(share, sameID)
+					s.advance(2500 * time.Millisecond)
+					s.crashShare(share, sameID)
 				}
-				s.pass(60 * time.Second)
+				s.advance(60 * time.Second)
 				s.check(t)
 				for _, id := range jobs {
-					if state := s.state(id); state != workload.Completed {
+					if state := s.jobState(id); state != workload.Completed {
 						t.Errorf("job %s is %s", id, state)
 					}
 				}
@@ -105,39 +105,39 @@
 
 // lose crashes a part of the workers in one moment; others come in their places, with their ids
 // or new ones.
-func (s *scene) lose(share float64, sameID bool) {
+func (s *scenario) crashShare(share float64, sameID bool) {
 	for _, id := range sortedIDs(s.fleet.Workers) {
 		switch {
 		case s.fleet.Workers[id].Dead || s.rng.Float64() >= share:
 		case sameID:
-			s.restart(id, 800*time.Millisecond)
+			s.restartWorker(id, 800*time.Millisecond)
 		default:
 			s.fleet.Kill(id, s.now)
-			s.crashed(id, workload.TaskID{}, s.now)
+			s.onCrash(id, workload.TaskID{}, s.now)
 		}
 	}
 }
 
 // Tasks that do crash their workers keep their bound beside such outages.
 func TestTasksThatCrashWorkersAreBoundedBesideOutages(t *testing.T) {
-	for _, after := range crashAfters {
+	for _, after := range crashDelays {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
 			const takes = 2500 * time.Millisecond
-			s := newFullScene(takes)
+			s := newLargeScenario(takes)
 			guilty := map[workload.JobID]time.Duration{}
 			for i := range 5 {
-				guilty[crasher(i)] = after
+				guilty[crashingJob(i)] = after
 			}
-			s.crashing(guilty, 800*time.Millisecond)
+			s.enableCrashes(guilty, 800*time.Millisecond)
 			for i := range 5 {
-				s.add(crasher(i), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: takes.Milliseconds()})
+				s.add(crashingJob(i), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: takes.Milliseconds()})
 			}
-			s.playOutages(takes, 0.4, 4, func(id string) { s.restart(id, 800*time.Millisecond) })
+			s.playOutages(takes, 0.4, 4, func(id string) { s.restartWorker(id, 800*time.Millisecond) })
 			s.check(t)
 			for i := range 5 {
-				if state := s.state(crasher(i)); state != workload.Failed {
-					t.Errorf("a job whose task crashed %d workers is %s", s.lives.crashes[workload.TaskID{Job: crasher(i)}], state)
+				if state := s.jobState(crashingJob(i)); state != workload.Failed {
+					t.Errorf("a job whose task crashed %d workers is %s", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
 				}
 			}
 		})
--- a/workload/control/unasked_test.go
+++ b/workload/control/unasked_test.go
@@ -13,28 +13,28 @@
 // a worker: on one that is idle, and of which nothing is remembered, nobody would find the run.
 
 // touch is how long after a late start its run may go on: by then whoever plans is in touch.
-const touch = 4 * time.Second
+const maxLateRun = 4 * time.Second
 
 // playLateStart has a planner order a job's only task, fall silent before the order arrives,
 // and its successor cancel the job. It returns for how long the task ran.
-func playLateStart(m mutant, late, storeAway time.Duration, cut bool) time.Duration {
-	s := newScene()
+func runLateStart(m mutant, late, storeAway time.Duration, cut bool) time.Duration {
+	s := newScenario()
 	s.mutant = m
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Minute} }
-	s.pass(time.Second)
-	s.delays = map[workload.JobID]time.Duration{jobA: late}
+	s.advance(time.Second)
+	s.startDelays = map[workload.JobID]time.Duration{jobA: late}
 	s.add(jobA, nil, workload.Step{Count: 1, Need: need(1)})
-	s.pass(100 * time.Millisecond)
-	s.seats[0].dead = true
-	s.cancels[jobA] = s.now
-	s.claim(nil)
+	s.advance(100 * time.Millisecond)
+	s.planners[0].dead = true
+	s.cancelledAt[jobA] = s.now
+	s.startPlanner(nil)
 	if cut {
 		for id := range s.fleet.Workers {
-			s.cut[id] = s.now.Add(touch / 2)
+			s.unreachableUntil[id] = s.now.Add(maxLateRun / 2)
 		}
 	}
-	s.seats[1].writing = s.now.Add(storeAway)
-	s.pass(late + touch + worldLimits.StopTimeout + time.Second)
+	s.planners[1].writingUntil = s.now.Add(storeAway)
+	s.advance(late + maxLateRun + simLimits.StopTimeout + time.Second)
 	ran := time.Duration(0)
 	for _, e := range s.events {
 		if e.Task.Job != jobA {
@@ -53,7 +53,7 @@
 	for name, late := range map[string]time.Duration{"before the look": 50 * time.Millisecond, "after it": 3 * time.Second, "after the lease": 9 * time.Second} {
 		for _, cut := range []bool{false, true} {
 			for _, away := range []time.Duration{0, 2 * time.Second} {
-				if ran := playLateStart(mutant{}, late, away, cut); ran > touch+worldLimits.StopTimeout {
+				if ran := runLateStart(mutant{}, late, away, cut); ran > maxLateRun+simLimits.StopTimeout {
 					t.Errorf("%s, cut %t, store away for %v: it ran for %v", name, cut, away, ran)
 				}
 			}
@@ -64,12 +64,12 @@
 // Two things keep it: the worker has seen the successor's token at the look, and the successor
 // finds the start in the log and has it barred. Without both the run goes on.
 func TestARunThatNothingKeptOffIsCaught(t *testing.T) {
-	for _, m := range []mutant{{sameToken: true, openLog: true}, {noLog: true}} {
-		if ran := playLateStart(m, 200*time.Millisecond, 0, false); ran > touch+worldLimits.StopTimeout {
+	for _, m := range []mutant{{sameToken: true, unfencedLog: true}, {noLog: true}} {
+		if ran := runLateStart(m, 200*time.Millisecond, 0, false); ran > maxLateRun+simLimits.StopTimeout {
 			t.Errorf("%+v: it ran for %v", m, ran)
 		}
 	}
-	if ran := playLateStart(mutant{sameToken: true, openLog: true, noLog: true}, 200*time.Millisecond, 0, false); ran <= touch+worldLimits.StopTimeout {
+	if ran := runLateStart(mutant{sameToken: true, unfencedLog: true, noLog: true}, 200*time.Millisecond, 0, false); ran <= maxLateRun+simLimits.StopTimeout {
 		t.Fatalf("it ran for %v", ran)
 	}
 }
--- a/workload/control/unknown_ends_test.go
+++ b/workload/control/unknown_ends_test.go
@@ -10,15 +10,15 @@
 
 // unknownScene is a planner that has just begun. Its worker lists the ends of a job's two tasks,
 // whose record has them as placed there.
-type unknownScene struct {
+type unknownEndsScenario struct {
 	c   *Core
 	now time.Time
 	id  workload.JobID
 	job *workload.Job
 }
 
-func newUnknownScene() *unknownScene {
-	s := &unknownScene{now: time.Unix(1000, 0), id: "00000000000000aa"}
+func newUnknownEndsScenario() *unknownEndsScenario {
+	s := &unknownEndsScenario{now: time.Unix(1000, 0), id: "00000000000000aa"}
 	s.c = New(Bounds{Lease: 6 * time.Second, Authority: 6 * time.Second, StopTimeout: 400 * time.Millisecond, Wait: time.Second, FarFactor: 3}, 2, s.now)
 	s.c.Configure(Configuration{Queues: map[string]workload.Terms{"q": {Attempts: 3, Stretch: 3, TargetMS: 1000}}})
 	s.c.List([]Listing{{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1}}, s.now)
@@ -26,12 +26,12 @@
 	return s
 }
 
-func (s *unknownScene) task(index int) workload.TaskID {
+func (s *unknownEndsScenario) task(index int) workload.TaskID {
 	return workload.TaskID{Job: s.id, Index: index}
 }
 
 // adopt hands the job to the planner, with progress in which its tasks are at their first run.
-func (s *unknownScene) adopt(t *testing.T) {
+func (s *unknownEndsScenario) adopt(t *testing.T) {
 	t.Helper()
 	progress := &workload.Progress{State: workload.Running, Begun: true, Next: 1}
 	placed := workload.Task{Phase: workload.Placed, Run: 1, Worker: "w0"}
@@ -44,10 +44,10 @@
 }
 
 // mostListed is how many ends a worker lists at a time.
-const mostListed = 500
+const maxListedEnds = 500
 
 // hold carries one hold out; the worker forgets what it is told to. It returns the cursor.
-func (s *unknownScene) hold(rows ...EndedRow) int64 {
+func (s *unknownEndsScenario) renew(rows ...EndedRow) int64 {
 	s.now = s.now.Add(500 * time.Millisecond)
 	order, _ := s.c.Hold("w0", s.now)
 	if order.Worker == "" {
@@ -59,12 +59,12 @@
 			listed = append(listed, row)
 		}
 	}
-	page := listed[:min(len(listed), mostListed)]
+	page := listed[:min(len(listed), maxListedEnds)]
 	s.c.Held(order, HoldAnswer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000, Ended: page, More: len(listed) > len(page)}, s.now, s.now)
 	return order.Cursor
 }
 
-func (s *unknownScene) round() []StartOrder {
+func (s *unknownEndsScenario) round() []StartOrder {
 	s.c.Round(s.now, s.now.UnixMilli())
 	s.c.Changes()
 	return s.c.Persisted(s.now)
@@ -73,17 +73,17 @@
 // Guards against ends that are acknowledged although they changed no job's record: their tasks
 // would be started again.
 func TestAnEndOfAJobThatIsNotKnownYetIsNotAcknowledged(t *testing.T) {
-	s := newUnknownScene()
+	s := newUnknownEndsScenario()
 	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
 	for range 3 {
-		if cursor := s.hold(ends...); cursor > 0 {
+		if cursor := s.renew(ends...); cursor > 0 {
 			t.Fatalf("ends up to %d are acknowledged while nothing is known of their job", cursor)
 		}
 		s.round()
 	}
 	s.adopt(t)
 	for range 3 {
-		s.hold(ends...)
+		s.renew(ends...)
 		if starts := s.round(); len(starts) > 0 {
 			t.Fatalf("%v starts again after it was done", starts[0].Task)
 		}
@@ -99,21 +99,21 @@
 // Ends whose job is known to be over, or that is not known for longer than any earlier planner's
 // runs last, hold nothing up.
 func TestAnEndOfAJobThatIsOverIsAcknowledged(t *testing.T) {
-	for name, over := range map[string]func(*unknownScene){
-		"it has ended": func(s *unknownScene) {
+	for name, over := range map[string]func(*unknownEndsScenario){
+		"it has ended": func(s *unknownEndsScenario) {
 			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Completed, Settled: true, Progress: []byte(`{"state":"completed","begun":true,"next":1}`)})
 		},
-		"it is shown as ended": func(s *unknownScene) {
+		"it is shown as ended": func(s *unknownEndsScenario) {
 			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Completed, Begun: true})
 		},
-		"nothing was known of it for long": func(s *unknownScene) { s.now = s.c.inheritedLeasesEnd },
+		"nothing was known of it for long": func(s *unknownEndsScenario) { s.now = s.c.inheritedLeasesEnd },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newUnknownScene()
+			s := newUnknownEndsScenario()
 			over(s)
 			end := EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndStopped}
 			for range 3 {
-				s.hold(end)
+				s.renew(end)
 				s.round()
 			}
 			if cursor := s.c.workers["w0"].acknowledgedEnd; cursor != 1 {
@@ -125,8 +125,8 @@
 
 // Guards against a job that begins anew because its progress was not read.
 func TestAJobThatHasBegunIsNotAdoptedWithoutItsProgress(t *testing.T) {
-	s := newUnknownScene()
-	s.hold()
+	s := newUnknownEndsScenario()
+	s.renew()
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Begun: true})
 	if starts := s.round(); len(starts) > 0 {
 		t.Fatalf("%v starts although nothing is known of the runs before", starts[0].Task)
@@ -139,16 +139,16 @@
 
 // A reduced acceptance stands for a job that has ended.
 func TestAJobWhoseAcceptanceIsReducedDoesNotBegin(t *testing.T) {
-	s := newUnknownScene()
-	s.hold()
+	s := newUnknownEndsScenario()
+	s.renew()
 	s.job.Reduced, s.job.Steps = true, nil
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Queued})
 	if s.c.jobs[s.id] != nil {
 		t.Fatal("a job that has ended is taken over")
 	}
-	s.hold(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
+	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
 	s.round()
-	s.hold()
+	s.renew()
 	if cursor := s.c.workers["w0"].acknowledgedEnd; cursor != 1 {
 		t.Errorf("ends up to %d are acknowledged, want 1", cursor)
 	}
@@ -156,7 +156,7 @@
 
 // An occurrence that the record has not created yet is as unknown as a run that is ahead of it.
 func TestAnEndOfAnOccurrenceThatIsNotThereYetIsNotAcknowledged(t *testing.T) {
-	s := newUnknownScene()
+	s := newUnknownEndsScenario()
 	s.job.Repetitions, s.job.FirstMS, s.job.IntervalMS = 10, s.now.UnixMilli()+3_600_000, 1000
 	progress := &workload.Progress{State: workload.Running, Begun: true, Next: 2}
 	value, err := json.Marshal(progress)
@@ -169,7 +169,7 @@
 	}
 	end := EndedRow{Number: 1, Task: workload.TaskID{Job: s.id, K: 2}, Run: 1, How: EndDone}
 	for range 3 {
-		if cursor := s.hold(end); cursor > 0 {
+		if cursor := s.renew(end); cursor > 0 {
 			t.Fatal("the end of an occurrence that the record lacks is acknowledged")
 		}
 		s.round()
@@ -178,11 +178,11 @@
 
 // A job that is taken for a new one has no occurrence before the first round.
 func TestAnEndOfAJobTakenForNewIsNotAcknowledged(t *testing.T) {
-	s := newUnknownScene()
+	s := newUnknownEndsScenario()
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Queued})
 	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
 	for range 4 {
-		cursor := s.hold(ends...)
+		cursor := s.renew(ends...)
 		if j := s.c.jobs[s.id]; cursor > 0 && j != nil && !j.progress.State.Final() {
 			t.Fatalf("ends up to %d are acknowledged, and changed no record", cursor)
 		}
@@ -195,11 +195,11 @@
 func TestARunWhoseEndIsNotListedYetHasNotVanished(t *testing.T) {
 	for name, unknown := range map[string]bool{"all are known": false, "the first is unknown": true} {
 		t.Run(name, func(t *testing.T) {
-			const tasks = mostListed + 20
-			s := newUnknownScene()
+			const tasks = maxListedEnds + 20
+			s := newUnknownEndsScenario()
 			s.c.List([]Listing{{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 2 * tasks}, ClockMS: 1}}, s.now)
 			s.job.Steps[0].Count = tasks
-			s.hold()
+			s.renew()
 			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Queued})
 			ordered := map[workload.TaskID]int64{}
 			again := 0
@@ -232,7 +232,7 @@
 				for len(listed) > 0 && listed[0].Number <= forgotten {
 					listed = listed[1:]
 				}
-				forgotten = max(forgotten, s.hold(listed...))
+				forgotten = max(forgotten, s.renew(listed...))
 				order()
 			}
 			if again > 0 {
@@ -244,8 +244,8 @@
 
 // What is kept of a worker ends with it.
 func TestAWorkerThatLeftWithUnknownEndsIsLetGo(t *testing.T) {
-	s := newUnknownScene()
-	s.hold(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
+	s := newUnknownEndsScenario()
+	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
 	s.round()
 	s.c.List(nil, s.now)
 	s.now = s.c.inheritedLeasesEnd.Add(time.Minute)
@@ -284,7 +284,7 @@
 			if !b.Complete() {
 				t.Fatal("the book waits for a record that was read")
 			}
-			s := newUnknownScene()
+			s := newUnknownEndsScenario()
 			b.All(s.c.Adopt)
 			if s.c.Jobs() > 0 {
 				t.Error("a job whose progress can't be read is begun anew")
@@ -295,7 +295,7 @@
 
 // A worker with nothing at work is asked again for an end that was not acknowledged.
 func TestAnIdleWorkersUnknownEndIsAcknowledgedInTheEnd(t *testing.T) {
-	s := newUnknownScene()
+	s := newUnknownEndsScenario()
 	end := EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone}
 	asked := 0
 	for range 60 {
@@ -324,10 +324,10 @@
 
 // The end of a run that is ahead of its record is kept until the record has it.
 func TestAnEndAheadOfItsRecordIsNotAcknowledged(t *testing.T) {
-	s := newUnknownScene()
+	s := newUnknownEndsScenario()
 	s.adopt(t)
 	for range 3 {
-		cursor := s.hold(EndedRow{Number: 1, Task: s.task(0), Run: 2, How: EndDone})
+		cursor := s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 2, How: EndDone})
 		if task := s.c.jobs[s.id].progress.Find(s.task(0)); cursor > 0 && task.Phase != workload.Done {
 			t.Fatalf("an end that is ahead of its record is acknowledged, which has %+v", *task)
 		}
@@ -338,18 +338,18 @@
 
 // Ends of a job that has ended under this planner hold nothing up.
 func TestAnEndOfAJobThatEndedInThisTermIsAcknowledged(t *testing.T) {
-	s := newUnknownScene()
+	s := newUnknownEndsScenario()
 	s.adopt(t)
 	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
 	for range 3 {
-		s.hold(ends...)
+		s.renew(ends...)
 		s.round()
 	}
 	if s.c.jobs[s.id] != nil {
 		t.Fatal("the job is not forgotten")
 	}
 	for range 3 {
-		s.hold(append(ends, EndedRow{Number: 3, Task: s.task(1), Run: 2, How: EndStopped})...)
+		s.renew(append(ends, EndedRow{Number: 3, Task: s.task(1), Run: 2, How: EndStopped})...)
 		s.round()
 	}
 	if cursor := s.c.workers["w0"].acknowledgedEnd; cursor != 3 {
@@ -359,11 +359,11 @@
 
 // An end of an unknown job that is acknowledged has a line, however late it is listed.
 func TestAnUnknownEndThatIsAcknowledgedHasALine(t *testing.T) {
-	s := newUnknownScene()
-	s.hold()
+	s := newUnknownEndsScenario()
+	s.renew()
 	s.now = s.c.inheritedLeasesEnd
 	s.c.Notes()
-	s.hold(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
+	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
 	for _, n := range s.c.Notes() {
 		if n.Event == EventEndUnknown {
 			return
--- a/workload/control/world_lines_test.go
+++ b/workload/control/world_lines_test.go
@@ -10,43 +10,43 @@
 // lines are one planner's connections to workers. Each leads to the life that was there when
 // it was made, and ends with it. Half of those that holds make are kept; where there is none
 // an order to a recipient makes one of its own, on which the life answers first.
-type lines struct {
+type connections struct {
 	last int64
-	kept map[string]line
+	kept map[string]connection
 }
 
-type line struct {
-	number int64
-	life   *workertest.Worker
+type connection struct {
+	number      int64
+	incarnation *workertest.Worker
 }
 
 // lineBreaks is how soon a connection that can't be made, or that leads to another life than
 // the order is meant for, is found out.
-const lineBreaks = 5 * time.Millisecond
+const connectTime = 5 * time.Millisecond
 
 // made notes the connection of a hold that has arrived, and returns the newest that there is.
-func (l *lines) made(worker string, life *workertest.Worker) int64 {
-	l.last++
-	if l.kept == nil {
-		l.kept = map[string]line{}
+func (c *connections) add(worker string, life *workertest.Worker) int64 {
+	c.last++
+	if c.kept == nil {
+		c.kept = map[string]connection{}
 	}
-	if l.last%2 == 0 {
-		l.kept[worker] = line{l.last, life}
+	if c.last%2 == 0 {
+		c.kept[worker] = connection{c.last, life}
 	}
-	return l.last
+	return c.last
 }
 
 // lineTo finds the life that an order to a recipient reaches, if any; one that is dead, or cut
 // off, is found out as such on the way.
-func (w *world) lineTo(s *seat, worker string, to control.Recipient) (life *workertest.Worker, reached bool) {
-	if kept, ok := s.lines.kept[worker]; ok && kept.number <= to.Connections {
-		return kept.life, true
+func (sim *simulation) connectionTo(p *planner, worker string, to control.Recipient) (life *workertest.Worker, reached bool) {
+	if kept, ok := p.connections.kept[worker]; ok && kept.number <= to.Connections {
+		return kept.incarnation, true
 	}
-	target := w.fleet.Workers[worker]
-	if w.now.Before(w.cut[worker]) || target == nil || target.Dead {
+	target := sim.fleet.Workers[worker]
+	if sim.now.Before(sim.unreachableUntil[worker]) || target == nil || target.Dead {
 		return target, true
 	}
-	s.lines.made(worker, target)
-	answer := w.mutant.life(control.HoldAnswer{Born: target.Born, ClockMS: target.ClockMS(w.now)}, w.now)
+	p.connections.add(worker, target)
+	answer := sim.mutant.alterAnswer(control.HoldAnswer{Born: target.Born, ClockMS: target.ClockMS(sim.now)}, sim.now)
 	return target, to.Is(answer.Born, answer.ClockMS)
 }
