--- a/workload/replay/arrivals.go
+++ b/workload/replay/arrivals.go
@@ -11,35 +11,35 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// arrival is a job with what the planner does not know of it.
-type arrival struct {
+// scheduledJob is a job of the load, with properties that the planner can't see.
+type scheduledJob struct {
 	at    time.Duration
 	job   *workload.Job
 	class *Class
-	// takes is how long each task runs on a sound worker near its data, by step.
-	takes [][]time.Duration
-	// fails is how many runs of a task or gang fail before one is done, by step
-	// and task; a gang counts at its first task.
-	fails [][]int
-	// hopeless jobs fail whenever they run.
-	hopeless bool
-	// cancelAt is when its caller cancels it; 0 is never.
+	// runTimes is how long each task runs on a healthy worker near its data, by step.
+	runTimes [][]time.Duration
+	// failures is how many runs of a task or gang fail before one succeeds, by step and task; a
+	// gang's count is that of its first task.
+	failures [][]int
+	// neverSucceeds marks jobs whose runs all fail.
+	neverSucceeds bool
+	// cancelAt is when the caller cancels the job; 0 means never.
 	cancelAt time.Duration
-	// work is in core-seconds.
-	work float64
+	// coreSeconds is the total work of the job.
+	coreSeconds float64
 }
 
-// draw makes the load of a pattern from a seed.
-func draw(p *Pattern, rng *rand.Rand) []*arrival {
-	var out []*arrival
+// generateLoad draws the jobs of a pattern with the given random source.
+func generateLoad(p *Pattern, rng *rand.Rand) []*scheduledJob {
+	var out []*scheduledJob
 	for i := range p.Classes {
 		c := &p.Classes[i]
-		for at := gap(rng, p.rate(c, 0)); at < seconds(p.Seconds); at += gap(rng, p.rate(c, at)) {
-			out = append(out, p.drawJob(c, at, rng))
+		for at := interarrivalTime(rng, p.rate(c, 0)); at < seconds(p.Seconds); at += interarrivalTime(rng, p.rate(c, at)) {
+			out = append(out, p.generateJob(c, at, rng))
 		}
 	}
 	for _, r := range p.Jobs {
-		out = append(out, p.recorded(r, rng))
+		out = append(out, p.recordedArrival(r, rng))
 	}
 	sort.SliceStable(out, func(a, b int) bool { return out[a].at < out[b].at })
 	for i, a := range out {
@@ -48,17 +48,17 @@
 	return out
 }
 
-// leastRate keeps gaps finite where a class has no load for now.
-const leastRate = 1e-3
+// minRate keeps interarrival times finite for a class that has no load for some time.
+const minRate = 1e-3
 
-func gap(rng *rand.Rand, rate float64) time.Duration {
-	return seconds(min(rng.ExpFloat64()/max(rate, leastRate), 1e6))
+func interarrivalTime(rng *rand.Rand, rate float64) time.Duration {
+	return seconds(min(rng.ExpFloat64()/max(rate, minRate), 1e6))
 }
 
-// rate is how many jobs of a class come in a second at a time.
+// rate returns the arrival rate of a class at the given time, in jobs per second.
 func (p *Pattern) rate(c *Class, at time.Duration) float64 {
 	rate := c.PerSecond
-	for _, t := range p.Troubles {
+	for _, t := range p.Faults {
 		if t.Kind == Burst && t.Class == c.Name && at >= seconds(t.AtS) && at < seconds(t.AtS+t.ForS) {
 			rate *= t.Factor
 		}
@@ -66,13 +66,13 @@
 	return rate
 }
 
-// account draws whose job it is.
-func (p *Pattern) account(at time.Duration, rng *rand.Rand) domain.AccountID {
+// drawAccount draws the client account of a job.
+func (p *Pattern) drawAccount(at time.Duration, rng *rand.Rand) domain.AccountID {
 	shares := make([]float64, len(p.Accounts))
 	total := 0.0
 	for i, a := range p.Accounts {
 		shares[i] = a.Share
-		for _, t := range p.Troubles {
+		for _, t := range p.Faults {
 			if t.Kind == Burst && t.Account == a.Name && at >= seconds(t.AtS) && at < seconds(t.AtS+t.ForS) {
 				shares[i] *= t.Factor
 			}
@@ -88,40 +88,40 @@
 	return domain.AccountID(p.Accounts[len(p.Accounts)-1].Name)
 }
 
-// draw returns a value of the distribution.
-func (s Spread) draw(rng *rand.Rand) float64 {
-	if s.Spread <= 0 {
+// sample draws a value from the distribution.
+func (s Distribution) sample(rng *rand.Rand) float64 {
+	if s.Sigma <= 0 {
 		return s.Mean
 	}
-	v := s.Mean * math.Exp(s.Spread*rng.NormFloat64()-s.Spread*s.Spread/2)
+	v := s.Mean * math.Exp(s.Sigma*rng.NormFloat64()-s.Sigma*s.Sigma/2)
 	if s.Max > 0 {
 		v = min(v, s.Max)
 	}
 	return v
 }
 
-func (p *Pattern) drawJob(c *Class, at time.Duration, rng *rand.Rand) *arrival {
-	a := &arrival{at: at, class: c, hopeless: rng.Float64() < c.Hopeless}
-	a.job = &workload.Job{Account: p.account(at, rng), Queue: c.Name, Terms: c.terms()}
-	for step := range max(1, int(math.Round(c.Steps.draw(rng)))) {
+func (p *Pattern) generateJob(c *Class, at time.Duration, rng *rand.Rand) *scheduledJob {
+	a := &scheduledJob{at: at, class: c, neverSucceeds: rng.Float64() < c.NeverSucceeds}
+	a.job = &workload.Job{Account: p.drawAccount(at, rng), Queue: c.Name, Terms: c.terms()}
+	for step := range max(1, int(math.Round(c.Steps.sample(rng)))) {
 		s := workload.Step{
-			Count: max(1, int(math.Round(c.Width.draw(rng)))),
+			Count: max(1, int(math.Round(c.Width.sample(rng)))),
 			Need:  workload.Resources{MilliCPU: c.CPU, MemoryMiB: c.MemoryMiB, Accelerators: c.Accelerators[rng.IntN(len(c.Accelerators))]},
 			Gang:  rng.Float64() < c.Gang, Checkpoint: rng.Float64() < c.Checkpoint,
 		}
 		s.SameRack = s.Gang && rng.Float64() < c.SameRack
 		if rng.Float64() < c.NearData {
-			s.DataRack = rackName(rng.IntN(p.racks()))
+			s.DataRack = rackName(rng.IntN(p.rackCount()))
 		}
 		if step > 0 {
 			s.DependsOn = []int{step - 1}
 		}
-		p.fit(&s)
-		takes := max(50, c.RunMS.draw(rng))
-		off := 1 + c.EstimateOff*(2*rng.Float64()-1)
-		s.EstimateMS = int64(max(1, takes*off))
+		p.shrinkGang(&s)
+		runMS := max(50, c.RunMS.sample(rng))
+		estimateFactor := 1 + c.EstimateError*(2*rng.Float64()-1)
+		s.EstimateMS = int64(max(1, runMS*estimateFactor))
 		a.job.Steps = append(a.job.Steps, s)
-		a.addStep(s, takes, c, rng)
+		a.addStep(s, runMS, c, rng)
 	}
 	if rng.Float64() < c.Cancelled {
 		a.cancelAt = at + seconds(rng.Float64()*10)
@@ -129,86 +129,89 @@
 	return a
 }
 
-// fit narrows a gang to what the pool could run at all: one rack where it wants
-// one, all of them elsewhere.
-func (p *Pattern) fit(s *workload.Step) {
+// shrinkGang limits a gang to the number of tasks that fits into the pool, or into one rack if the
+// gang asks for one rack.
+func (p *Pattern) shrinkGang(s *workload.Step) {
 	if !s.Gang {
 		return
 	}
-	each := workload.Resources{MilliCPU: p.Workers.CPU, MemoryMiB: p.Workers.MemoryMiB, Accelerators: p.Workers.Accelerators}.Count(s.Need, s.Count)
+	perWorker := workload.Resources{MilliCPU: p.Workers.CPU, MemoryMiB: p.Workers.MemoryMiB, Accelerators: p.Workers.Accelerators}.Count(s.Need, s.Count)
 	workers := p.Workers.Count
 	if s.SameRack {
 		workers = min(workers, p.Workers.PerRack)
 	}
-	s.Count = max(1, min(s.Count, each*workers))
+	s.Count = max(1, min(s.Count, perWorker*workers))
 }
 
-func (a *arrival) addStep(s workload.Step, takesMS float64, c *Class, rng *rand.Rand) {
-	takes := make([]time.Duration, s.Count)
-	fails := make([]int, s.Count)
+func (a *scheduledJob) addStep(s workload.Step, meanMS float64, c *Class, rng *rand.Rand) {
+	runTimes := make([]time.Duration, s.Count)
+	failures := make([]int, s.Count)
 	longest := time.Duration(0)
-	for i := range takes {
-		takes[i] = time.Duration(takesMS * (1 + c.Uneven*(2*rng.Float64()-1)) * float64(time.Millisecond))
-		longest = max(longest, takes[i])
+	for i := range runTimes {
+		runTimes[i] = time.Duration(meanMS * (1 + c.TaskVariation*(2*rng.Float64()-1)) * float64(time.Millisecond))
+		longest = max(longest, runTimes[i])
 		if (!s.Gang || i == 0) && rng.Float64() < c.Failing {
-			fails[i] = 1
+			failures[i] = 1
 		}
 	}
-	for i := range takes {
+	for i := range runTimes {
 		if s.Gang {
-			takes[i] = longest
+			runTimes[i] = longest
 		}
-		a.work += takes[i].Seconds() * s.Need.CoreEquivalent()
+		a.coreSeconds += runTimes[i].Seconds() * s.Need.CoreEquivalent()
 	}
-	a.takes = append(a.takes, takes)
-	a.fails = append(a.fails, fails)
+	a.runTimes = append(a.runTimes, runTimes)
+	a.failures = append(a.failures, failures)
 }
 
-func (p *Pattern) recorded(r RecordedJob, rng *rand.Rand) *arrival {
+func (p *Pattern) recordedArrival(r RecordedJob, rng *rand.Rand) *scheduledJob {
 	c := &p.Classes[0]
 	for i := range p.Classes {
 		if p.Classes[i].Name == r.Class {
 			c = &p.Classes[i]
 		}
 	}
-	a := &arrival{at: ms(r.AtMS), class: c}
+	a := &scheduledJob{at: ms(r.AtMS), class: c}
 	a.job = &workload.Job{Account: domain.AccountID(r.Account), Queue: c.Name, Terms: c.terms(), Steps: r.Steps}
 	for i := range r.Steps {
-		p.fit(&a.job.Steps[i])
+		p.shrinkGang(&a.job.Steps[i])
 		a.addStep(a.job.Steps[i], float64(max(r.Steps[i].EstimateMS, 50)), c, rng)
 	}
 	return a
 }
 
 func (c *Class) terms() workload.Terms {
-	return workload.Terms{Service: pool, Priority: c.Priority, Attempts: c.Attempts, Stretch: c.Stretch, TargetMS: c.TargetMS}
+	return workload.Terms{Service: poolService, Priority: c.Priority, Attempts: c.Attempts, Stretch: c.Stretch, TargetMS: c.TargetMS}
 }
 
-// objective is how long the job may take: its longest chain on sound workers,
-// with the runs that fail by its own fault, stretched.
-func (a *arrival) objective() time.Duration {
-	chain := make([]time.Duration, len(a.takes))
-	best := time.Duration(0)
-	for i, takes := range a.takes {
+// objective returns the time in which the job should complete: the duration of its critical path
+// on healthy workers, including runs that fail by the job's own fault, times the class's stretch,
+// plus the class's target.
+func (a *scheduledJob) objective() time.Duration {
+	chain := make([]time.Duration, len(a.runTimes))
+	criticalPath := time.Duration(0)
+	for i, runTimes := range a.runTimes {
 		for _, d := range a.job.Steps[i].DependsOn {
 			chain[i] = max(chain[i], chain[d])
 		}
 		longest := time.Duration(0)
-		for t, took := range takes {
-			again := a.fails[i][t]
+		for t, runTime := range runTimes {
+			retries := a.failures[i][t]
 			if a.job.Steps[i].Gang {
-				again = a.fails[i][0]
+				retries = a.failures[i][0]
 			}
-			longest = max(longest, time.Duration(1+again)*took)
+			longest = max(longest, time.Duration(1+retries)*runTime)
 		}
 		chain[i] += longest
-		best = max(best, chain[i])
+		criticalPath = max(criticalPath, chain[i])
 	}
-	return time.Duration(a.class.Stretch*float64(best)) + ms(a.class.TargetMS)
+	return time.Duration(a.class.Stretch*float64(criticalPath)) + ms(a.class.TargetMS)
 }
 
-const pool = "pool"
+const poolService = "pool"
 
-func (p *Pattern) racks() int { return (p.Workers.Count + p.Workers.PerRack - 1) / p.Workers.PerRack }
+func (p *Pattern) rackCount() int {
+	return (p.Workers.Count + p.Workers.PerRack - 1) / p.Workers.PerRack
+}
 
 func rackName(i int) string { return fmt.Sprintf("r1-%d", i+1) }
--- a/workload/replay/baseline.go
+++ b/workload/replay/baseline.go
@@ -8,11 +8,11 @@
 	"github.com/cobalttide/cobalttide/workload/decide"
 )
 
-// The baselines know no guarantees, no stops and no places kept clear: best fit
-// on free room alone, gangs in one rack where they want one.
+// The baselines ignore guarantees, never stop runs and reserve no workers. They use best fit on
+// free capacity alone and place a gang in one rack if it asks for that.
 
-// fifo starts units in the order of arrival and stops at the first that finds
-// no room.
+// fifo starts units in the order of arrival and stops at the first one that does not fit
+// completely.
 func fifo(s *decide.Snapshot) decide.Plan {
 	b := newBaseline(s)
 	for _, i := range byArrival(s) {
@@ -23,19 +23,19 @@
 	return b.plan
 }
 
-// easy lets the others pass the first in line as long as that does not start
-// later by it: those that end before it could, as far as is known.
+// easy implements EASY backfilling: once the first unit in line does not fit, later ones start
+// only if they are expected to end before the time at which it could start.
 func easy(s *decide.Snapshot) decide.Plan {
 	b := newBaseline(s)
-	var shadow time.Duration
-	waits := false
+	var shadowTime time.Duration
+	blocked := false
 	for _, i := range byArrival(s) {
 		u := &s.Waiting[i]
-		if waits && u.Run > shadow {
+		if blocked && u.Run > shadowTime {
 			continue
 		}
-		if !b.start(i) && !waits {
-			waits, shadow = true, b.shadow(u)
+		if !b.start(i) && !blocked {
+			blocked, shadowTime = true, b.shadowTime(u)
 		}
 	}
 	return b.plan
@@ -57,24 +57,24 @@
 	return b
 }
 
-// start places all tasks of a gang or none, of other units as many as fit; it
-// tells whether nothing is left waiting.
+// start places all tasks of a gang or none, and as many tasks of other units as fit. It reports
+// whether all tasks of the unit were placed.
 func (b *baseline) start(i int) bool {
 	u := &b.s.Waiting[i]
-	for _, rack := range b.places(u) {
-		if picks := b.pick(u, rack); len(picks) == len(u.Indexes) {
-			b.take(i, u, picks)
+	for _, rack := range b.candidateRacks(u) {
+		if workers := b.selectWorkers(u, rack); len(workers) == len(u.Indexes) {
+			b.assign(i, u, workers)
 			return true
 		}
 	}
 	if !u.Step.Gang {
-		b.take(i, u, b.pick(u, ""))
+		b.assign(i, u, b.selectWorkers(u, ""))
 	}
 	return false
 }
 
-// places are the racks to try; "" is anywhere.
-func (b *baseline) places(u *decide.Unit) []string {
+// candidateRacks returns the racks to try in order; "" means any rack.
+func (b *baseline) candidateRacks(u *decide.Unit) []string {
 	if u.Step.DataRack != "" {
 		return []string{u.Step.DataRack, ""}
 	}
@@ -90,8 +90,9 @@
 	return racks
 }
 
-// pick finds workers for the unit's tasks, the fullest first.
-func (b *baseline) pick(u *decide.Unit, rack string) []string {
+// selectWorkers returns workers for the unit's tasks, preferring those with the fewest free
+// accelerators.
+func (b *baseline) selectWorkers(u *decide.Unit, rack string) []string {
 	need := u.Step.Counted()
 	var fits []*decide.Worker
 	for i := range b.s.Workers {
@@ -112,15 +113,15 @@
 	return out
 }
 
-func (b *baseline) take(i int, u *decide.Unit, workers []string) {
+func (b *baseline) assign(i int, u *decide.Unit, workers []string) {
 	for n, id := range workers {
 		b.free[id] = b.free[id].Sub(u.Step.Counted())
 		b.plan.Starts = append(b.plan.Starts, decide.Assignment{Unit: i, Index: u.Indexes[n], Worker: id})
 	}
 }
 
-// shadow is when enough accelerators are expected to be free for the unit.
-func (b *baseline) shadow(u *decide.Unit) time.Duration {
+// shadowTime returns the time until enough accelerators are expected to be free for the unit.
+func (b *baseline) shadowTime(u *decide.Unit) time.Duration {
 	need := int64(len(u.Indexes)) * u.Step.Need.Accelerators
 	for _, free := range b.free {
 		need -= free.Accelerators
--- a/workload/replay/network.go
+++ b/workload/replay/network.go
@@ -6,110 +6,111 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// orders sends what the planner has decided and what is due.
-func (w *world) orders() {
-	for _, o := range w.core.Stops() {
-		w.sendStop(w.core, o)
+// sendOrders sends the planner's stops, the starts that are due and the lease renewals.
+func (sim *simulation) sendOrders() {
+	for _, o := range sim.core.Stops() {
+		sim.sendStop(sim.core, o)
 	}
-	for _, o := range w.core.Due(w.now()) {
-		w.sendStart(w.core, o)
+	for _, o := range sim.core.Due(sim.now()) {
+		sim.sendStart(sim.core, o)
 	}
-	for _, id := range w.core.NeedsHold(w.now()) {
-		if o, ok := w.core.Hold(id, w.now()); ok {
-			w.sendHold(w.core, o)
+	for _, id := range sim.core.NeedsHold(sim.now()) {
+		if o, ok := sim.core.Hold(id, sim.now()); ok {
+			sim.sendRenewal(sim.core, o)
 		}
 	}
 }
 
-// reached tells whether an order comes through to a worker now.
-func (w *world) reached(worker string) bool {
-	h := w.workers[worker]
-	return h != nil && !h.gone && w.at >= h.cutUntil
+// isReachable reports whether an order reaches a worker now.
+func (sim *simulation) isReachable(worker string) bool {
+	w := sim.workers[worker]
+	return w != nil && !w.lost && sim.elapsed >= w.unreachableUntil
 }
 
-// send carries an order there, and its answer back or silence in its place.
-func (w *world) send(core *control.Core, worker string, do func() func(), silence func()) {
-	way := time.Duration(1+w.rng.IntN(2)) * ms(w.p.Bounds.OrderMS)
-	w.after(way, func() {
-		if !w.reached(worker) {
-			w.after(orderTime, func() { w.deliver(core, silence) })
+// send delivers an order to a worker after the network latency, then its answer; noAnswer is
+// called instead if the worker is unreachable.
+func (sim *simulation) send(core *control.Core, worker string, do func() func(), noAnswer func()) {
+	latency := time.Duration(1+sim.rng.IntN(2)) * ms(sim.pattern.Bounds.OrderMS)
+	sim.after(latency, func() {
+		if !sim.isReachable(worker) {
+			sim.after(orderTimeout, func() { sim.deliver(core, noAnswer) })
 			return
 		}
 		answer := do()
-		w.after(way, func() { w.deliver(core, answer) })
+		sim.after(latency, func() { sim.deliver(core, answer) })
 	})
 }
 
-// deliver gives an answer to the planner that asked, if it still plans.
-func (w *world) deliver(core *control.Core, answer func()) {
-	if core != w.core || w.at < w.plannerAway {
+// deliver passes an answer to the planner that sent the order, if that one is still active.
+func (sim *simulation) deliver(core *control.Core, answer func()) {
+	if core != sim.core || sim.elapsed < sim.plannerDownUntil {
 		return
 	}
 	answer()
-	w.woken = true
+	sim.roundDue = true
 }
 
-func (w *world) sendStart(core *control.Core, o control.StartOrder) {
-	w.m.starts++
-	w.send(core, o.Worker, func() func() {
-		a := w.fleet.Workers[o.Worker].Start(o, w.now())
-		return func() { core.Started(o, a, w.now()) }
-	}, func() { core.Started(o, control.Answer{Verdict: control.Unanswered}, w.now()) })
+func (sim *simulation) sendStart(core *control.Core, o control.StartOrder) {
+	sim.metrics.starts++
+	sim.send(core, o.Worker, func() func() {
+		a := sim.fleet.Workers[o.Worker].Start(o, sim.now())
+		return func() { core.Started(o, a, sim.now()) }
+	}, func() { core.Started(o, control.Answer{Verdict: control.Unanswered}, sim.now()) })
 }
 
-func (w *world) sendStop(core *control.Core, o control.StopOrder) {
-	w.send(core, o.Worker, func() func() {
-		a := w.fleet.Workers[o.Worker].Stop(o, w.now())
-		return func() { core.Stopped(o, a, w.now()) }
-	}, func() { core.Stopped(o, control.Answer{Verdict: control.Unanswered}, w.now()) })
+func (sim *simulation) sendStop(core *control.Core, o control.StopOrder) {
+	sim.send(core, o.Worker, func() func() {
+		a := sim.fleet.Workers[o.Worker].Stop(o, sim.now())
+		return func() { core.Stopped(o, a, sim.now()) }
+	}, func() { core.Stopped(o, control.Answer{Verdict: control.Unanswered}, sim.now()) })
 }
 
-// sendHold lets a hold wait on its worker until something ends there.
-func (w *world) sendHold(core *control.Core, o control.HoldOrder) {
-	w.after(ms(w.p.Bounds.OrderMS), func() {
-		w.holds = append(w.holds, &pendingHold{core, o, w.at})
+// sendRenewal sends a lease renewal, which waits on its worker until a run ends there.
+func (sim *simulation) sendRenewal(core *control.Core, o control.HoldOrder) {
+	sim.after(ms(sim.pattern.Bounds.OrderMS), func() {
+		sim.renewals = append(sim.renewals, &pendingRenewal{core, o, sim.elapsed})
 	})
 }
 
-func (w *world) answerHolds() {
-	waiting := w.holds[:0]
-	for _, h := range w.holds {
-		if !w.answerHold(h) {
-			waiting = append(waiting, h)
+func (sim *simulation) answerRenewals() {
+	waiting := sim.renewals[:0]
+	for _, renewal := range sim.renewals {
+		if !sim.answerRenewal(renewal) {
+			waiting = append(waiting, renewal)
 		}
 	}
-	w.holds = waiting
+	sim.renewals = waiting
 }
 
-// answerHold answers a hold that has waited for long enough, or that has ends
-// to tell; false leaves it waiting.
-func (w *world) answerHold(h *pendingHold) bool {
-	sent := epoch.Add(h.sent)
-	if !w.reached(h.order.Worker) {
-		if w.at-h.sent < h.order.Wait+orderTime {
+// answerRenewal answers a renewal that has waited long enough or whose worker has new ends to
+// report. It returns false if the renewal keeps waiting.
+func (sim *simulation) answerRenewal(renewal *pendingRenewal) bool {
+	sent := epoch.Add(renewal.sent)
+	if !sim.isReachable(renewal.order.Worker) {
+		if sim.elapsed-renewal.sent < renewal.order.Wait+orderTimeout {
 			return false
 		}
-		w.deliver(h.core, func() {
-			h.core.Held(h.order, control.HoldAnswer{Verdict: control.Unanswered}, sent, w.now())
+		sim.deliver(renewal.core, func() {
+			renewal.core.Held(renewal.order, control.HoldAnswer{Verdict: control.Unanswered}, sent, sim.now())
 		})
 		return true
 	}
-	target := w.fleet.Workers[h.order.Worker]
-	fresh := false
+	target := sim.fleet.Workers[renewal.order.Worker]
+	newEnds := false
 	for _, e := range target.Ended() {
-		fresh = fresh || e.Number > h.order.Cursor
+		newEnds = newEnds || e.Number > renewal.order.Cursor
 	}
-	if !fresh && w.at-h.sent < h.order.Wait {
-		// The lease holds from the time that the order came.
-		target.Keep(h.order, w.now())
+	if !newEnds && sim.elapsed-renewal.sent < renewal.order.Wait {
+		// The lease is extended when the order arrives, not when it is answered.
+		target.Keep(renewal.order, sim.now())
 		return false
 	}
-	a := target.Hold(h.order, w.now())
-	w.after(ms(w.p.Bounds.OrderMS), func() {
-		w.deliver(h.core, func() {
-			h.core.Held(h.order, a, sent, w.now())
-			if next, ok := h.core.Hold(h.order.Worker, w.now()); ok {
-				w.sendHold(h.core, next)
+	a := target.Hold(renewal.order, sim.now())
+	sim.after(ms(sim.pattern.Bounds.OrderMS), func() {
+		sim.deliver(renewal.core, func() {
+			renewal.core.Held(renewal.order, a, sent, sim.now())
+			if next, ok := renewal.core.Hold(renewal.order.Worker, sim.now()); ok {
+				sim.sendRenewal(renewal.core, next)
 			}
 		})
 	})
--- a/workload/replay/pattern.go
+++ b/workload/replay/pattern.go
@@ -1,7 +1,6 @@
-// Package replay plays a declared load with its troubles against the real
-// planner's core and decisions, in virtual time over a model of workers, and
-// measures what callers get: jobs in time, waits, work thrown away, completion
-// times and fragmentation. Two policies are compared on the same seeds.
+// Package replay runs a declared load with faults against the planner's real core and decisions,
+// in virtual time on a model of workers. It measures what callers see: jobs in time, waits, wasted
+// work, completion times and fragmentation. Two policies are compared on the same seeds.
 package replay
 
 import (
@@ -21,40 +20,40 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// Pattern is a load and what goes wrong under it. Times in the file are in the
-// unit that the field's name ends with.
+// Pattern describes a load and the faults under it. The suffix of a field's name in the file gives
+// the unit of a time.
 type Pattern struct {
 	Name string `json:"name"`
-	// Extends names a pattern whose fields hold where this one has none.
+	// Extends names a pattern that supplies the fields missing in this one.
 	Extends string `json:"extends,omitempty"`
-	// Seconds is how long jobs come.
+	// Seconds is how long jobs arrive.
 	Seconds  float64   `json:"seconds"`
 	Workers  Workers   `json:"workers"`
 	Bounds   Bounds    `json:"bounds"`
 	Accounts []Account `json:"accounts"`
 	Classes  []Class   `json:"classes"`
-	Troubles []Trouble `json:"troubles"`
-	// Jobs are played as they are, in place of drawn ones: a load that was recorded.
+	Faults   []Fault   `json:"troubles"`
+	// Jobs are recorded jobs, which are replayed in addition to the generated ones.
 	Jobs []RecordedJob `json:"jobs,omitempty"`
 }
 
 // Workers describes the pool.
 type Workers struct {
 	Count int `json:"count"`
-	// PerRack is the workers of a rack; racks go to data centres in turn.
+	// PerRack is the number of workers in a rack. Racks are assigned to data centres round-robin.
 	PerRack      int   `json:"per_rack"`
 	DataCentres  int   `json:"data_centres"`
 	CPU          int64 `json:"cpu"`
 	MemoryMiB    int64 `json:"memory_mib"`
 	Accelerators int64 `json:"accelerators"`
-	// Speeds are drawn from 1 - SpeedSpread to 1 + SpeedSpread.
+	// Speeds are drawn uniformly from 1 - SpeedSpread to 1 + SpeedSpread.
 	SpeedSpread float64 `json:"speed_spread"`
-	// SlowShare of the workers take SlowBy times as long as the others, for good.
-	SlowShare float64 `json:"slow_share"`
-	SlowBy    float64 `json:"slow_by"`
+	// SlowShare of the workers take SlowFactor times as long as the others, permanently.
+	SlowShare  float64 `json:"slow_share"`
+	SlowFactor float64 `json:"slow_by"`
 }
 
-// Bounds are the deployment's times, in milliseconds.
+// Bounds are the time limits and latencies of the deployment, in milliseconds.
 type Bounds struct {
 	LeaseMS      int64 `json:"lease_ms"`
 	StopMS       int64 `json:"stop_ms"`
@@ -62,104 +61,106 @@
 	ReclaimMS    int64 `json:"reclaim_ms"`
 	CheckpointMS int64 `json:"checkpoint_ms"`
 	RestoreMS    int64 `json:"restore_ms"`
-	// WriteMS is what a write to the log takes, OrderMS the way of an order.
+	// WriteMS is the latency of a write to the log, OrderMS the network latency of an order.
 	WriteMS int64 `json:"write_ms"`
 	OrderMS int64 `json:"order_ms"`
-	// FarFactor is how many times as long far work takes.
+	// FarFactor is the factor by which work takes longer away from its data or across racks.
 	FarFactor float64 `json:"far_factor"`
 }
 
 // Account is a client account.
 type Account struct {
 	Name string `json:"name"`
-	// Share is its part of the jobs, against the other accounts.
+	// Share is the account's share of the jobs, relative to the other accounts.
 	Share float64 `json:"share"`
-	// Guaranteed is in accelerators.
+	// Guaranteed is the number of guaranteed accelerators.
 	Guaranteed int64 `json:"guaranteed"`
 }
 
-// Spread is a distribution: lognormal, cut at Max.
-type Spread struct {
-	Mean   float64 `json:"mean"`
-	Spread float64 `json:"spread"`
-	Max    float64 `json:"max"`
+// Distribution is a lognormal distribution, truncated at Max. Sigma 0 means the constant Mean.
+type Distribution struct {
+	Mean  float64 `json:"mean"`
+	Sigma float64 `json:"spread"`
+	Max   float64 `json:"max"`
 }
 
-// Class is a kind of job.
+// Class describes the jobs of one kind.
 type Class struct {
 	Name      string  `json:"name"`
 	Priority  int     `json:"priority"`
 	PerSecond float64 `json:"per_second"`
-	// Worth is what a job in time earns, LateWorth one within three times its
-	// objective, which is Stretch times its longest chain and TargetMS.
-	Worth     float64 `json:"worth"`
-	LateWorth float64 `json:"late_worth"`
-	Stretch   float64 `json:"stretch"`
-	TargetMS  int64   `json:"target_ms"`
-	Attempts  int     `json:"attempts"`
-	Steps     Spread  `json:"steps"`
-	Width     Spread  `json:"width"`
-	RunMS     Spread  `json:"run_ms"`
-	// Uneven is by how much tasks of a step differ, EstimateOff by how much
-	// estimates are wrong; both as a share.
-	Uneven      float64 `json:"uneven"`
-	EstimateOff float64 `json:"estimate_off"`
-	CPU         int64   `json:"cpu"`
-	MemoryMiB   int64   `json:"memory_mib"`
-	// Accelerators are the amounts that tasks need, one of which is drawn.
+	// Value is the credit for a job that completes within its objective, LateValue for one within
+	// three times the objective. The objective is Stretch times the duration of the job's longest
+	// chain, plus TargetMS.
+	Value     float64      `json:"worth"`
+	LateValue float64      `json:"late_worth"`
+	Stretch   float64      `json:"stretch"`
+	TargetMS  int64        `json:"target_ms"`
+	Attempts  int          `json:"attempts"`
+	Steps     Distribution `json:"steps"`
+	Width     Distribution `json:"width"`
+	RunMS     Distribution `json:"run_ms"`
+	// TaskVariation is how much run times differ between tasks of a step, EstimateError how far
+	// estimates are off; both are relative.
+	TaskVariation float64 `json:"uneven"`
+	EstimateError float64 `json:"estimate_off"`
+	CPU           int64   `json:"cpu"`
+	MemoryMiB     int64   `json:"memory_mib"`
+	// Accelerators are the possible numbers of accelerators per task, one of which is drawn.
 	Accelerators []int64 `json:"accelerators"`
-	// Shares of the jobs: gangs, gangs that want one rack, those that save their
-	// progress, those with data in a rack, those whose first run fails, those that
-	// can't be done, those that are cancelled.
-	Gang       float64 `json:"gang"`
-	SameRack   float64 `json:"one_rack"`
-	Checkpoint float64 `json:"checkpoint"`
-	NearData   float64 `json:"near_data"`
-	Failing    float64 `json:"failing"`
-	Hopeless   float64 `json:"hopeless"`
-	Cancelled  float64 `json:"cancelled"`
+	// Shares of the steps that are gangs, of the gangs that ask for one rack, of the steps
+	// that save checkpoints and of those with data in a rack; shares of the tasks whose first run
+	// fails, of the jobs that never succeed and of those that are cancelled.
+	Gang          float64 `json:"gang"`
+	SameRack      float64 `json:"one_rack"`
+	Checkpoint    float64 `json:"checkpoint"`
+	NearData      float64 `json:"near_data"`
+	Failing       float64 `json:"failing"`
+	NeverSucceeds float64 `json:"hopeless"`
+	Cancelled     float64 `json:"cancelled"`
 }
 
-// Trouble is something that goes wrong, or a change of the load.
-type Trouble struct {
+// Fault is a failure or a change of the load.
+type Fault struct {
 	Kind string  `json:"kind"`
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
-	// Class or Account is whose load changes, by Factor.
+	// Class or Account selects the jobs whose rate changes by Factor.
 	Class   string  `json:"class,omitempty"`
 	Account string  `json:"account,omitempty"`
 	Factor  float64 `json:"factor,omitempty"`
-	// Share is the part of the workers or jobs that it concerns.
+	// Share is the share of the workers or jobs that are affected.
 	Share float64 `json:"share,omitempty"`
 }
 
-// Kinds of trouble.
+// Kinds of faults.
 const (
-	// Burst multiplies a class's or an account's jobs by Factor.
+	// Burst multiplies the arrival rate of a class or the share of an account by Factor.
 	Burst = "burst"
-	// RackGone takes a rack's workers away at once, and back after.
-	RackGone = "rack-gone"
-	// DataCentreCut cuts a data centre's workers off; they run on under their leases.
-	DataCentreCut = "data-centre-cut"
-	// StoreAway leaves the log without answers.
-	StoreAway = "store-away"
-	// Notices makes a share of the workers leave after the time given.
-	Notices = "notices"
-	// Slow makes a share of the workers Factor times slower.
+	// RackLost removes all workers of a rack at once; replacements join at the end.
+	RackLost = "rack-gone"
+	// DataCentreUnreachable disconnects the workers of a data centre, which keep running under
+	// their leases.
+	DataCentreUnreachable = "data-centre-cut"
+	// LogDown makes the log unavailable.
+	LogDown = "store-away"
+	// DrainNotices makes a share of the workers leave after the given time.
+	DrainNotices = "notices"
+	// Slow makes a share of the workers slower by Factor.
 	Slow = "slow"
-	// Grey makes a share of the workers fail all that they start.
+	// Grey makes every run fail that starts on a share of the workers.
 	Grey = "grey"
-	// Hang makes runs stand still that begin on a share of the workers.
+	// Hang makes runs hang that start on a share of the workers.
 	Hang = "hang"
 	// Cancel cancels a share of the open jobs at once.
 	Cancel = "cancel"
-	// PlannerGone leaves nobody to plan, then a successor.
-	PlannerGone = "planner-gone"
+	// PlannerDown leaves the system without a planner until a successor takes over.
+	PlannerDown = "planner-gone"
 )
 
-var kinds = []string{Burst, RackGone, DataCentreCut, StoreAway, Notices, Slow, Grey, Hang, Cancel, PlannerGone}
+var faultKinds = []string{Burst, RackLost, DataCentreUnreachable, LogDown, DrainNotices, Slow, Grey, Hang, Cancel, PlannerDown}
 
-// RecordedJob is a job out of a log.
+// RecordedJob is a job taken from a log.
 type RecordedJob struct {
 	AtMS    int64           `json:"at_ms"`
 	Class   string          `json:"class"`
@@ -167,7 +168,7 @@
 	Steps   []workload.Step `json:"steps"`
 }
 
-// PatternError names the field that is wrong and what to do about it.
+// PatternError reports an invalid field of a pattern and how to fix it.
 type PatternError struct {
 	Pattern, Field, Problem, Remedy string
 }
@@ -178,24 +179,24 @@
 }
 
 //go:embed patterns/*.jsonc
-var shipped embed.FS
+var embedded embed.FS
 
-const ending = ".jsonc"
+const fileExtension = ".jsonc"
 
-// Names lists the patterns that ship.
+// Names lists the embedded patterns.
 func Names() []string {
-	entries, err := shipped.ReadDir("patterns")
+	entries, err := embedded.ReadDir("patterns")
 	if err != nil {
 		return nil
 	}
 	var out []string
 	for _, e := range entries {
-		out = append(out, strings.TrimSuffix(e.Name(), ending))
+		out = append(out, strings.TrimSuffix(e.Name(), fileExtension))
 	}
 	return out
 }
 
-// Load reads a pattern: one that ships, by its name, or a file.
+// Load reads an embedded pattern by name, or a pattern file.
 func Load(name string) (*Pattern, error) {
 	raw, err := read(name)
 	if err != nil {
@@ -205,12 +206,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return p, p.check()
+	return p, p.validate()
 }
 
 func read(name string) ([]byte, error) {
 	if slices.Contains(Names(), name) {
-		return shipped.ReadFile(path.Join("patterns", name+ending))
+		return embedded.ReadFile(path.Join("patterns", name+fileExtension))
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -219,71 +220,71 @@
 	return raw, nil
 }
 
-// parse reads a pattern on top of those that it extends.
-func parse(name string, raw []byte, below []string) (*Pattern, error) {
+// parse decodes a pattern on top of the patterns that it extends.
+func parse(name string, raw []byte, ancestors []string) (*Pattern, error) {
 	text, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
-		return nil, &PatternError{name, "file", err.Error(), "write JSON, with comments if you like"}
+		return nil, &PatternError{name, "file", err.Error(), "write valid JSON; comments are allowed"}
 	}
-	head := struct {
+	header := struct {
 		Extends string `json:"extends"`
 	}{}
-	if err := json.Unmarshal(text, &head); err != nil {
+	if err := json.Unmarshal(text, &header); err != nil {
 		return nil, &PatternError{name, "file", err.Error(), "write one JSON object"}
 	}
 	p := &Pattern{Name: name}
-	if head.Extends != "" {
-		if slices.Contains(below, head.Extends) {
-			return nil, &PatternError{name, "extends", "patterns extend each other in a circle", "extend one that does not come back here"}
+	if header.Extends != "" {
+		if slices.Contains(ancestors, header.Extends) {
+			return nil, &PatternError{name, "extends", "circular reference through extends", "extend one that does not lead back to this pattern"}
 		}
-		base, err := read(head.Extends)
+		base, err := read(header.Extends)
 		if err != nil {
 			return nil, err
 		}
-		if p, err = parse(head.Extends, base, append(below, name)); err != nil {
+		if p, err = parse(header.Extends, base, append(ancestors, name)); err != nil {
 			return nil, err
 		}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(p); err != nil {
-		return nil, &PatternError{name, strings.TrimPrefix(err.Error(), "json: "), "it does not belong here", "use the fields that docs/OPERATIONS.md lists"}
+		return nil, &PatternError{name, strings.TrimPrefix(err.Error(), "json: "), "the field is not valid here", "use the fields that docs/OPERATIONS.md lists"}
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, &PatternError{name, "file", "something follows the object", "write one JSON object"}
+		return nil, &PatternError{name, "file", "there is data after the object", "write one JSON object"}
 	}
 	return p, nil
 }
 
-func (p *Pattern) check() error {
-	wrong := func(field, problem, remedy string) error { return &PatternError{p.Name, field, problem, remedy} }
+func (p *Pattern) validate() error {
+	invalid := func(field, problem, remedy string) error { return &PatternError{p.Name, field, problem, remedy} }
 	for field, value := range map[string]float64{
 		"seconds": p.Seconds, "workers.count": float64(p.Workers.Count), "workers.per_rack": float64(p.Workers.PerRack),
 		"workers.data_centres": float64(p.Workers.DataCentres), "workers.accelerators": float64(p.Workers.Accelerators),
 		"bounds.lease_ms": float64(p.Bounds.LeaseMS), "bounds.gang_ms": float64(p.Bounds.GangMS), "bounds.write_ms": float64(p.Bounds.WriteMS),
 	} {
 		if value <= 0 {
-			return wrong(field, fmt.Sprintf("is %v", value), "give it a value above 0")
+			return invalid(field, fmt.Sprintf("is %v", value), "set a value greater than 0")
 		}
 	}
 	if len(p.Accounts) == 0 || len(p.Classes) == 0 {
-		return wrong("accounts, classes", "one of them is empty", "name at least one of each")
+		return invalid("accounts, classes", "at least one of the lists is empty", "name at least one of each")
 	}
 	for i, c := range p.Classes {
 		if c.Name == "" || len(c.Accelerators) == 0 || c.RunMS.Mean <= 0 || c.Width.Mean < 1 || c.Attempts < 1 {
-			return wrong(fmt.Sprintf("classes[%d]", i), "name, accelerators, run_ms, width or attempts is missing", "give each a value")
+			return invalid(fmt.Sprintf("classes[%d]", i), "name, accelerators, run_ms, width or attempts is missing", "set a value for each")
 		}
 	}
-	if p.Workers.SlowShare < 0 || p.Workers.SlowShare > 1 || (p.Workers.SlowShare > 0 && p.Workers.SlowBy < 1) {
-		return wrong("workers.slow_share, workers.slow_by", "the share is not within 0 and 1, or the factor is below 1", "correct it")
+	if p.Workers.SlowShare < 0 || p.Workers.SlowShare > 1 || (p.Workers.SlowShare > 0 && p.Workers.SlowFactor < 1) {
+		return invalid("workers.slow_share, workers.slow_by", "the share is not between 0 and 1, or the factor is less than 1", "set a share from 0 to 1 and a factor of at least 1")
 	}
-	for i, t := range p.Troubles {
+	for i, t := range p.Faults {
 		field := fmt.Sprintf("troubles[%d]", i)
-		if !slices.Contains(kinds, t.Kind) {
-			return wrong(field+".kind", fmt.Sprintf("there is no %q", t.Kind), "use one of "+strings.Join(kinds, ", "))
+		if !slices.Contains(faultKinds, t.Kind) {
+			return invalid(field+".kind", fmt.Sprintf("unknown kind %q", t.Kind), "use one of "+strings.Join(faultKinds, ", "))
 		}
 		if t.AtS < 0 || t.ForS < 0 || t.Share < 0 || t.Share > 1 {
-			return wrong(field, "a time is negative, or the share is not within 0 and 1", "correct it")
+			return invalid(field, "a time is negative, or the share is not between 0 and 1", "set times of at least 0 and a share from 0 to 1")
 		}
 	}
 	return nil
--- a/workload/replay/plot.go
+++ b/workload/replay/plot.go
@@ -17,24 +17,24 @@
 	plotHeight = 3 * vg.Inch
 )
 
-// Plots writes the queue, the room and the starts over time of both policies on
-// the first seed, as SVG files into a folder.
+// Plots writes SVG plots of the queue, the free accelerators and the starts over time into a
+// folder, for both policies on the first seed.
 func (e *Experiment) Plots(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	for _, one := range []struct {
 		name, title string
-		of          func(Series) []float64
+		values      func(Series) []float64
 	}{
-		{"queue", "jobs that have not begun", func(s Series) []float64 { return s.Waiting }},
-		{"room", "accelerators that nothing holds", func(s Series) []float64 { return s.Free }},
-		{"starts", "runs begun in a tenth of a second", func(s Series) []float64 { return s.Starts }},
+		{"queue", "jobs not yet started", func(s Series) []float64 { return s.Waiting }},
+		{"room", "free accelerators", func(s Series) []float64 { return s.Free }},
+		{"starts", "runs started per 0.1 s", func(s Series) []float64 { return s.Starts }},
 	} {
 		p := plot.New()
 		p.Title.Text = fmt.Sprintf("%s: %s", e.Pattern, one.title)
 		p.X.Label.Text = "s"
-		if err := plotutil.AddLines(p, e.A[0].Policy, points(one.of(e.A[0].Series)), e.B[0].Policy, points(one.of(e.B[0].Series))); err != nil {
+		if err := plotutil.AddLines(p, e.A[0].Policy, points(one.values(e.A[0].Series)), e.B[0].Policy, points(one.values(e.B[0].Series))); err != nil {
 			return err
 		}
 		if err := p.Save(plotWidth, plotHeight, filepath.Join(dir, one.name+".svg")); err != nil {
@@ -47,7 +47,7 @@
 func points(values []float64) plotter.XYs {
 	out := make(plotter.XYs, len(values))
 	for i, v := range values {
-		out[i] = plotter.XY{X: float64(i) * sampleEvery.Seconds(), Y: v}
+		out[i] = plotter.XY{X: float64(i) * sampleInterval.Seconds(), Y: v}
 	}
 	return out
 }
--- a/workload/replay/policy.go
+++ b/workload/replay/policy.go
@@ -8,49 +8,49 @@
 	"github.com/cobalttide/cobalttide/workload/decide"
 )
 
-// Policy is one way to decide.
+// Policy is a scheduling policy.
 type Policy struct {
 	Name string
-	// Without are mechanisms that are switched off.
-	Without decide.Without
-	// Plan replaces the decisions; nil is what ships.
+	// Disabled are the mechanisms that are switched off.
+	Disabled decide.Without
+	// Plan replaces the shipped decision function if it is not nil.
 	Plan func(*decide.Snapshot) decide.Plan
 }
 
-// Names of policies; any other name is a list of mechanisms to switch off.
+// Names of policies. Any other name must list mechanisms to disable.
 const (
-	// Shipping is the policy as it ships.
+	// Shipping is the policy as shipped.
 	Shipping = "shipping"
-	// Before is the policy without the mechanisms that were added last.
+	// Before is the shipped policy without the most recently added mechanisms.
 	Before = "before"
-	// Easy is backfilling behind a reservation for the first in line, best fit.
+	// Easy is EASY backfilling: a reservation for the first unit in line, best fit.
 	Easy = "easy"
-	// Fifo starts in the order of arrival and nothing else.
-	Fifo = "fifo"
+	// FIFO starts units strictly in the order of arrival.
+	FIFO = "fifo"
 )
 
-// ParsePolicy finds a policy by its name, or makes one of what ships without
-// some mechanisms: "without=clear-racks,distrust".
+// ParsePolicy returns the policy of that name, or the shipped policy without the listed
+// mechanisms: "without=clear-racks,distrust".
 func ParsePolicy(name string) (Policy, error) {
 	switch name {
 	case Shipping:
 		return Policy{Name: name}, nil
 	case Before:
-		return Policy{Name: name, Without: before()}, nil
+		return Policy{Name: name, Disabled: withoutLatest()}, nil
 	case Easy:
 		return Policy{Name: name, Plan: easy}, nil
-	case Fifo:
+	case FIFO:
 		return Policy{Name: name, Plan: fifo}, nil
 	}
 	list, ok := strings.CutPrefix(name, "without=")
 	if !ok {
-		return Policy{}, fmt.Errorf("there is no policy %q: use %s, %s, %s, %s, or without=MECHANISM with a list of them", name, Shipping, Before, Easy, Fifo)
+		return Policy{}, fmt.Errorf("unknown policy %q: use %s, %s, %s, %s, or without=MECHANISM with a comma-separated list", name, Shipping, Before, Easy, FIFO)
 	}
 	without, err := decide.ParseWithout(list)
-	return Policy{Name: name, Without: without}, err
+	return Policy{Name: name, Disabled: without}, err
 }
 
-func before() decide.Without {
+func withoutLatest() decide.Without {
 	out := decide.Without{}
 	for _, m := range decide.Latest {
 		out[m] = true
@@ -58,7 +58,7 @@
 	return out
 }
 
-// byArrival orders units by when they could first start.
+// byArrival returns the indexes of the waiting units, ordered by when they could first start.
 func byArrival(s *decide.Snapshot) []int {
 	out := make([]int, len(s.Waiting))
 	for i := range out {
--- a/workload/replay/record.go
+++ b/workload/replay/recorded.go
@@ -11,9 +11,9 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// Record makes a pattern of the jobs that logs say were accepted. They run for
-// what their callers estimated. Queues are taken for classes of their priority:
-// the names are mapped in the order in which they first come.
+// Record makes a pattern of the accepted jobs in logs. The estimates of the callers are taken as
+// run times. Queues are mapped to the classes of the "steady" pattern in order of first
+// appearance.
 func Record(lines []events.Line) (*Pattern, error) {
 	p, err := Load("steady")
 	if err != nil {
@@ -46,7 +46,7 @@
 		p.Jobs = append(p.Jobs, RecordedJob{AtMS: l.At.Sub(first).Milliseconds(), Class: classes[queue], Account: fmt.Sprint(l.Fields["account"]), Steps: steps})
 	}
 	if len(p.Jobs) == 0 {
-		return nil, errors.New("the logs tell of no job with its shape; name logs of instances that accepted some")
+		return nil, errors.New("the logs contain no accepted job with a shape; name logs of instances that accepted jobs")
 	}
 	p.Seconds = last.Sub(first).Seconds() + 1
 	return p, nil
--- a/workload/replay/replay_test.go
+++ b/workload/replay/replay_test.go
@@ -13,7 +13,7 @@
 	"github.com/cobalttide/cobalttide/workload/decide"
 )
 
-func pattern(t *testing.T, name string) *Pattern {
+func loadPattern(t *testing.T, name string) *Pattern {
 	t.Helper()
 	p, err := Load(name)
 	if err != nil {
@@ -22,18 +22,18 @@
 	return p
 }
 
-func TestEveryPatternThatShipsIsGood(t *testing.T) {
+func TestEmbeddedPatternsAreValid(t *testing.T) {
 	if len(Names()) < 12 {
-		t.Fatalf("only %v", Names())
+		t.Fatalf("%d embedded patterns, want at least 12: %v", len(Names()), Names())
 	}
 	for _, name := range Names() {
-		if p := pattern(t, name); p.Name != name {
-			t.Errorf("%s calls itself %s", name, p.Name)
+		if p := loadPattern(t, name); p.Name != name {
+			t.Errorf("pattern %s has the name %s", name, p.Name)
 		}
 	}
 }
 
-func TestWhatIsWrongInAPatternIsNamedWithItsRemedy(t *testing.T) {
+func TestPatternErrorNamesProblemAndRemedy(t *testing.T) {
 	dir := t.TempDir()
 	for field, text := range map[string]string{
 		"unknown field":    `{"extends": "steady", "secondz": 3}`,
@@ -57,23 +57,23 @@
 	}
 }
 
-func TestOneSeedGivesOneResult(t *testing.T) {
-	p := Random(1)
+func TestSameSeedGivesSameResult(t *testing.T) {
+	p := RandomPattern(1)
 	a, b := Run(p, Policy{}, 5), Run(p, Policy{}, 5)
 	if a.Credit != b.Credit || a.Completion != b.Completion || a.Classes[0].InTime != b.Classes[0].InTime {
-		t.Fatalf("%v and %v", a, b)
+		t.Fatalf("two runs with the same seed differ: %v and %v", a, b)
 	}
 	if c := Run(p, Policy{}, 6); c.Credit == a.Credit && c.Completion == a.Completion {
-		t.Fatal("another seed gives the same")
+		t.Fatal("another seed gives the same result")
 	}
 }
 
-// means plays a pattern on some seeds at once and returns the mean of a figure.
-func means(p *Pattern, policy Policy, seeds int, of func(*Result) float64) float64 {
+// meanOver runs a pattern on several seeds concurrently and returns the mean of a value.
+func meanOver(p *Pattern, policy Policy, seeds int, value func(*Result) float64) float64 {
 	results := make([]float64, seeds)
 	var group sync.WaitGroup
 	for i := range seeds {
-		group.Go(func() { results[i] = of(Run(p, policy, uint64(i+1))) })
+		group.Go(func() { results[i] = value(Run(p, policy, uint64(i+1))) })
 	}
 	group.Wait()
 	total := 0.0
@@ -83,27 +83,27 @@
 	return total / float64(seeds)
 }
 
-// without is the policy that ships less some mechanisms; "" is none.
-func without(mechanisms ...decide.Mechanism) Policy {
-	out := Policy{Without: decide.Without{}}
+// disabling returns the shipped policy without some mechanisms; "" disables none.
+func disabling(mechanisms ...decide.Mechanism) Policy {
+	out := Policy{Disabled: decide.Without{}}
 	for _, m := range mechanisms {
-		out.Without[m] = true
+		out.Disabled[m] = true
 	}
 	return out
 }
 
 func urgentInTime(r *Result) float64 { return r.Classes[0].InTimeShare() }
 
-// Each mechanism is worth something under the load that it answers: the figure
-// with it, over that without it, on fixed seeds. Where another one answers the same
-// load, each hides a part of the other's gain: it is left out on both sides then.
-func TestEachMechanismAnswersItsLoad(t *testing.T) {
+// Each mechanism must improve its figure by a factor under the load that it is meant for, on fixed
+// seeds. Another mechanism that helps under the same load would hide part of the gain, so it is
+// disabled on both sides.
+func TestEachMechanismImprovesItsPattern(t *testing.T) {
 	for _, c := range []struct {
-		mechanism decide.Mechanism
-		pattern   string
-		of        func(*Result) float64
-		least     float64
-		beside    decide.Mechanism
+		mechanism    decide.Mechanism
+		pattern      string
+		value        func(*Result) float64
+		minFactor    float64
+		alsoDisabled decide.Mechanism
 	}{
 		{decide.KeepIdle, "burst-wide", urgentInTime, 1.02, ""},
 		{decide.WatchCentres, "centre-cut", urgentInTime, 1.01, ""},
@@ -113,36 +113,35 @@
 	} {
 		t.Run(string(c.mechanism), func(t *testing.T) {
 			t.Parallel()
-			p := pattern(t, c.pattern)
+			p := loadPattern(t, c.pattern)
 			const seeds = 4
-			with, less := means(p, without(c.beside), seeds, c.of), means(p, without(c.mechanism, c.beside), seeds, c.of)
-			if with < c.least*less {
-				t.Fatalf("%.3f with it, %.3f without", with, less)
+			enabled, disabled := meanOver(p, disabling(c.alsoDisabled), seeds, c.value), meanOver(p, disabling(c.mechanism, c.alsoDisabled), seeds, c.value)
+			if enabled < c.minFactor*disabled {
+				t.Fatalf("%.3f enabled, %.3f disabled, want a factor of %.2f", enabled, disabled, c.minFactor)
 			}
 		})
 	}
 }
 
-// The policy beats both baselines at the worst load.
-func TestThePolicyBeatsBackfillingAtTheWorstLoad(t *testing.T) {
-	p := pattern(t, "worst")
+func TestPolicyBeatsBaselinesOnWorstPattern(t *testing.T) {
+	p := loadPattern(t, "worst")
 	credit := func(r *Result) float64 { return r.Credit }
 	const seeds = 2
-	ours := means(p, Policy{}, seeds, credit)
-	for _, name := range []string{Easy, Fifo} {
+	ours := meanOver(p, Policy{}, seeds, credit)
+	for _, name := range []string{Easy, FIFO} {
 		other, err := ParsePolicy(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if theirs := means(p, other, seeds, credit); ours < 1.2*theirs {
-			t.Errorf("%.3f, %s %.3f", ours, name, theirs)
+		if theirs := meanOver(p, other, seeds, credit); ours < 1.2*theirs {
+			t.Errorf("credit %.3f, %s has %.3f", ours, name, theirs)
 		}
 	}
 }
 
-// Nothing is fitted to a deployment: on ones that are drawn at random the policy
-// is no worse than it was before its latest mechanisms, on nine of ten.
-func TestUnseenDeploymentsAreNotWorseOff(t *testing.T) {
+// Guards against tuning to one deployment: on random ones, the policy must not do worse than
+// without its latest mechanisms in more than one of ten.
+func TestLatestMechanismsDoNotRegressOnRandomDeployments(t *testing.T) {
 	const deployments, tolerance = 20, 0.03
 	before, err := ParsePolicy(Before)
 	if err != nil {
@@ -152,9 +151,9 @@
 	var group sync.WaitGroup
 	for i := range deployments {
 		group.Go(func() {
-			p := Random(uint64(100 + i))
+			p := RandomPattern(uint64(100 + i))
 			credit := func(r *Result) float64 { return r.Credit }
-			a, b := means(p, before, 2, credit), means(p, Policy{}, 2, credit)
+			a, b := meanOver(p, before, 2, credit), meanOver(p, Policy{}, 2, credit)
 			worse[i] = b < a-tolerance
 		})
 	}
@@ -163,15 +162,15 @@
 	for i, w := range worse {
 		if w {
 			n++
-			t.Logf("deployment %d is worse off", 100+i)
+			t.Logf("credit is worse on deployment %d", 100+i)
 		}
 	}
 	if n > deployments/10 {
-		t.Fatalf("%d of %d are worse off", n, deployments)
+		t.Fatalf("credit is worse on %d of %d deployments", n, deployments)
 	}
 }
 
-func TestARecordedLoadCanBePlayed(t *testing.T) {
+func TestRecordedLoadReplays(t *testing.T) {
 	line := func(at time.Duration, id, queue string) events.Line {
 		return events.Line{At: time.Unix(0, 0).Add(at), Event: events.JobAccepted, Fields: map[string]any{
 			"job": id, "queue": queue, "account": "a", "shape": `[{"n":2,"r":{"c":1000,"a":1},"e":500,"g":true}]`,
@@ -182,18 +181,18 @@
 		t.Fatal(err)
 	}
 	if len(p.Jobs) != 2 || p.Jobs[1].AtMS != 1000 || p.Jobs[0].Class == p.Jobs[1].Class {
-		t.Fatalf("%+v", p.Jobs)
+		t.Fatalf("unexpected recorded jobs: %+v", p.Jobs)
 	}
 	r := Run(p, Policy{}, 1)
 	if done := r.Classes[0].InTime + r.Classes[1].InTime; done != 2 {
 		t.Fatalf("%d of 2 jobs in time", done)
 	}
 	if _, err := Record(nil); err == nil {
-		t.Fatal("no jobs make a pattern")
+		t.Fatal("Record accepted logs without jobs")
 	}
 }
 
-func TestAnUnknownPolicyIsRefusedWithTheListOfKnownOnes(t *testing.T) {
+func TestUnknownPolicyErrorListsKnownPolicies(t *testing.T) {
 	for _, name := range []string{"best", "without=luck"} {
 		if _, err := ParsePolicy(name); err == nil || !strings.Contains(err.Error(), "use") && !strings.Contains(err.Error(), "name some of") {
 			t.Errorf("%s: %v", name, err)
--- a/workload/workertest/crash_test.go
+++ b/workload/workertest/crash_test.go
@@ -8,8 +8,9 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// crashFleet has two workers; tasks of job "c" crash theirs after 10 ms, others take 50 ms.
-func crashFleet(gang bool) (*Fleet, *[]Event, time.Time) {
+// newCrashFleet returns a fleet of two workers. Tasks of job "c" crash their worker after 10 ms,
+// others take 50 ms.
+func newCrashFleet(gang bool) (*Fleet, *[]Event, time.Time) {
 	now := time.Unix(1000, 0)
 	seen := &[]Event{}
 	f := &Fleet{
@@ -28,46 +29,47 @@
 	return f, seen, now
 }
 
-func begin(f *Fleet, worker string, id workload.TaskID, now time.Time) control.Verdict {
+func startRun(f *Fleet, worker string, id workload.TaskID, now time.Time) control.Verdict {
 	w := f.Workers[worker]
 	return w.Start(control.StartOrder{Task: id, Run: 1, DeadlineMS: w.ClockMS(now) + 30_000}, now).Verdict
 }
 
-// A start that comes when its worker's life is over by what was due before it begins nothing.
-// Taken by the dead worker, such a run never ended, and its task's next run stood beside it
-// (soak: run-lost lasted_ms=26, then a start elsewhere, four of fifty seeds).
-func TestNothingBeginsOnAWorkerThatATaskHasCrashed(t *testing.T) {
-	f, _, now := crashFleet(false)
-	begin(f, "w1", workload.TaskID{Job: "c"}, now)
-	if v := begin(f, "w1", workload.TaskID{Job: "a"}, now.Add(20*time.Millisecond)); v != control.Unanswered || f.Workers["w1"].Running() != 0 {
-		t.Fatalf("the start is %s, %d runs are there", v, f.Workers["w1"].Running())
+// A start that arrives after its worker was due to crash must start nothing. A run that the
+// dead worker accepted never ended, so that the task's next run overlapped with it (soak: run-lost
+// lasted_ms=26, then a start elsewhere, four of fifty seeds).
+func TestCrashedWorkerStartsNothing(t *testing.T) {
+	f, _, now := newCrashFleet(false)
+	startRun(f, "w1", workload.TaskID{Job: "c"}, now)
+	if v := startRun(f, "w1", workload.TaskID{Job: "a"}, now.Add(20*time.Millisecond)); v != control.Unanswered || f.Workers["w1"].Running() != 0 {
+		t.Fatalf("the start on the crashed worker returned %s, it has %d runs", v, f.Workers["w1"].Running())
 	}
 }
 
-// An end that its worker had listed to nobody when a task crashed it is void: the planner can
-// only begin the task again (soak: a run of 598 ms is lost with its worker, another-life, and
-// begun again, five of fifty seeds). Of a gang it is not, while another member's worker lives.
-func TestEndsThatNobodyTookNoteOfAreLostWithTheirWorker(t *testing.T) {
+// An end that its worker had reported to nobody when a task crashed the worker is void: the
+// planner can only restart the task (soak: a run of 598 ms is lost with its worker, another-life,
+// and restarted, five of fifty seeds). A gang's end is not void while the worker of another member
+// is alive.
+func TestUnacknowledgedEndsAreVoidAfterCrash(t *testing.T) {
 	for name, c := range map[string]struct {
 		gang, acked bool
 		void        int
 	}{
-		"listed to nobody": {void: 1},
-		"taken note of":    {acked: true},
-		"of a gang whose other member's worker lives": {gang: true},
+		"not reported": {void: 1},
+		"acknowledged": {acked: true},
+		"of a gang whose other member's worker is alive": {gang: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, seen, now := crashFleet(c.gang)
-			begin(f, "w1", workload.TaskID{Job: "a"}, now)
+			f, seen, now := newCrashFleet(c.gang)
+			startRun(f, "w1", workload.TaskID{Job: "a"}, now)
 			if c.gang {
-				begin(f, "w2", workload.TaskID{Job: "a", Index: 1}, now)
+				startRun(f, "w2", workload.TaskID{Job: "a", Index: 1}, now)
 			}
 			now = now.Add(100 * time.Millisecond)
 			f.Advance(now)
 			if c.acked {
 				f.Workers["w1"].Hold(control.HoldOrder{Cursor: 1}, now)
 			}
-			begin(f, "w1", workload.TaskID{Job: "c"}, now)
+			startRun(f, "w1", workload.TaskID{Job: "c"}, now)
 			f.Advance(now.Add(20 * time.Millisecond))
 			void := 0
 			for _, e := range *seen {
