--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Measures what a daemon spends on control: real cobalttided processes against
-# the stand-in, at rising numbers of instances, workers and running tasks.
-# Prints one line a configuration: processor time in percent of a core, resident
-# memory in MiB, and control bytes a second, for the planner and for the mean of
-# the other instances. Everything runs on loopback and ends by itself.
-# Names one series (instances, workers, gangs) or none for all.
+# Measures the control overhead of the daemons: real cobalttided processes run against
+# the stand-in with increasing numbers of instances, workers and running tasks.
+# Prints one line per configuration: processor time in percent of a core, resident
+# memory in MiB and control bytes per second, for the planner and averaged over the
+# other instances. Everything runs on loopback and stops at the end.
+#   control.sh [instances|workers|gangs|all]    the series to measure; default all
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seconds=${SECONDS_EACH:-15}
@@ -19,8 +19,8 @@
 bytes() { curl -s "http://127.0.0.1:$1/metrics" | awk '/^cobalttide_control_bytes_total/ {n += $2} END {printf "%d", n}'; }
 planning() { curl -s "http://127.0.0.1:$1/metrics" | awk '/^cobalttide_planning / {print $2}'; }
 
-# measure BASE INSTANCES WORKERS GANGS: one data centre of 20 workers a rack with one
-# accelerator each, and that many gangs of one task that run on.
+# measure BASE INSTANCES WORKERS GANGS: one data centre with up to 20 workers per rack and
+# 8 accelerators per worker, and GANGS gangs of one task that run for the whole measurement.
 measure() {
   local base=$1 instances=$2 workers=$3 gangs=$4 racks=$((($3 + 19) / 20)) i
   [ "$workers" -lt 20 ] && local per=$workers || local per=20
--- a/bench/plan_test.go
+++ b/bench/plan_test.go
@@ -9,8 +9,8 @@
 	"github.com/cobalttide/cobalttide/scheduler"
 )
 
-// planSnapshot is a data centre with workers of one accelerator, as the target
-// has on average, half of it in use, and the given number of jobs waiting.
+// planSnapshot returns a data centre in which each worker has one accelerator, the average of the
+// target deployment. One worker in four runs a gang, and the given number of jobs is waiting.
 func planSnapshot(workers, waiting int) scheduler.Snapshot {
 	s := scheduler.Snapshot{Now: time.Unix(1_000_000, 0), DataCentre: "dc", Accounts: map[domain.AccountID]domain.ClientAccount{}}
 	class := domain.Class{Kind: domain.JobClass, Idempotent: true}
@@ -40,7 +40,7 @@
 
 var planSizes = []int{50, 200, 1000, 4000, 18000}
 
-// BenchmarkPlan measures a whole plan with one job waiting, and with 500.
+// BenchmarkPlan measures a complete planning run with one job waiting, and with 500.
 func BenchmarkPlan(b *testing.B) {
 	for _, waiting := range []int{1, 500} {
 		for _, workers := range planSizes {
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -13,15 +13,15 @@
 	"github.com/cobalttide/cobalttide/scheduler/placement"
 )
 
-// Policy is one way to schedule.
+// Policy is a scheduling policy.
 type Policy struct {
 	Name string
 	scheduler.Policy
-	// Learn corrects declared run times by what was measured.
+	// Learn enables correcting declared run times by measured ones.
 	Learn bool
 }
 
-// Policies are the baselines, kept for good, and the one that ships.
+// Policies returns the baselines, which are kept permanently, and the shipped policy.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "fifo-firstfit", Policy: scheduler.Policy{Strategy: placement.FirstFit, FIFO: true, NoBackfill: true}},
@@ -30,65 +30,65 @@
 	}
 }
 
-// Result is what a run measured. Times are in seconds.
+// Result holds the measurements of one run. Times are in seconds.
 type Result struct {
 	MeanCompletion, P99Completion, MeanSlowdown float64
-	// LargeP99Wait is of gangs of LargeSize and more, from submission to first
-	// start.
+	// LargeP99Wait is the 99th percentile of the waits of gangs of at least LargeSize
+	// accelerators, from submission to the first start.
 	LargeP99Wait float64
-	// FragPct is the time average share of free accelerators that the largest
-	// guaranteed shape can't use.
+	// FragPct is the share of the free accelerators that the largest guaranteed shape can't use,
+	// averaged over time.
 	FragPct, UtilPct float64
-	// ReclaimP99 is the wait of jobs that fitted their account's unused
-	// guarantee when they were submitted.
+	// ReclaimP99 is the 99th percentile of the waits of jobs that fitted into their account's
+	// unused guarantee when they were submitted.
 	ReclaimP99       float64
 	PreemptedAccelH  float64
 	Violations       int
 	Completed, Total int
 }
 
-// job is one arrival on its way.
+// job is an arrival with its progress.
 type job struct {
 	Arrival
-	since    time.Duration
-	started  time.Duration // first start, or -1
-	done     time.Duration // or -1
-	left     time.Duration // run time that is not done yet
-	entitled bool
-	serial   int
-	gang     *scheduler.Gang
-	began    time.Duration
+	submitted       time.Duration
+	started         time.Duration // first start, or -1
+	done            time.Duration // or -1
+	remaining       time.Duration // remaining run time
+	withinGuarantee bool
+	attempt         int
+	gang            *scheduler.Gang
+	attemptStarted  time.Duration
 }
 
-// run is the state of one run.
+// run is the state of a simulation.
 type run struct {
-	trace    Trace
-	policy   Policy
-	now      time.Duration
-	queue    virtual.Queue
-	jobs     []*job
-	waiting  []*job
-	running  []*job
-	down     map[domain.WorkerID]bool
-	binding  guarantee.Binding
-	reserved []scheduler.Reservation
-	book     *estimate.Book
-	result   Result
-	used     float64 // accelerator seconds in use
-	freeSum  float64
-	unusable float64
-	largest  domain.Shape
-	capacity int
+	trace        Trace
+	policy       Policy
+	now          time.Duration
+	queue        virtual.Queue
+	jobs         []*job
+	waiting      []*job
+	running      []*job
+	down         map[domain.WorkerID]bool
+	binding      guarantee.Binding
+	reservations []scheduler.Reservation
+	book         *estimate.Book
+	result       Result
+	usedTime     float64 // accelerator seconds in use
+	freeTime     float64
+	unusableTime float64
+	largestShape domain.Shape
+	capacity     int
 }
 
-// epoch is where virtual time begins.
+// epoch is the start of virtual time.
 var epoch = time.Unix(0, 0)
 
-// Run plays a trace under a policy.
+// Run simulates a trace under a policy.
 func Run(t Trace, p Policy) Result {
-	r := &run{trace: t, policy: p, down: map[domain.WorkerID]bool{}, book: estimate.NewBook(), largest: rackShape(4), capacity: 8 * len(t.Workers)}
+	r := &run{trace: t, policy: p, down: map[domain.WorkerID]bool{}, book: estimate.NewBook(), largestShape: rackShape(4), capacity: 8 * len(t.Workers)}
 	for _, a := range t.Arrivals {
-		j := &job{Arrival: a, since: a.At, started: -1, done: -1, left: a.Run}
+		j := &job{Arrival: a, submitted: a.At, started: -1, done: -1, remaining: a.Run}
 		j.Job.Submitted = epoch.Add(a.At)
 		r.jobs = append(r.jobs, j)
 		r.queue.At(a.At, func() { r.arrive(j) })
@@ -97,19 +97,19 @@
 		r.queue.At(o.From, func() { r.fail(o.Worker) })
 		r.queue.At(o.To, func() { delete(r.down, o.Worker) })
 	}
-	r.loop()
+	r.processEvents()
 	return r.summarize()
 }
 
-// grain is the span of virtual time whose events are decided on together.
-const grain = time.Second
+// decisionInterval is the span of virtual time whose events are handled in one planning decision.
+const decisionInterval = time.Second
 
-// loop plays events until the trace's length has passed twice over or all jobs
-// are done, so that late completions count.
-func (r *run) loop() {
+// processEvents runs until there are no more events or until three times the length of the trace,
+// so that late completions count.
+func (r *run) processEvents() {
 	for next, more := r.queue.Next(); more && r.now < 3*r.trace.Length; next, more = r.queue.Next() {
 		r.advance(next)
-		for at, more := r.queue.Next(); more && at <= next+grain; at, more = r.queue.Next() {
+		for at, more := r.queue.Next(); more && at <= next+decisionInterval; at, more = r.queue.Next() {
 			_, do := r.queue.Pop()
 			do()
 		}
@@ -117,7 +117,7 @@
 	}
 }
 
-// advance moves time on and adds up what is used and what is free meanwhile.
+// advance moves virtual time forward and adds up the used and free accelerator time in between.
 func (r *run) advance(to time.Duration) {
 	span := (to - r.now).Seconds()
 	if r.now < r.trace.Length && span > 0 {
@@ -136,40 +136,40 @@
 		cluster.Hold(j.gang.Placement, j.Job.Shape.PerTask)
 		used += j.Job.Shape.Accelerators()
 	}
-	free, unusable := placement.Fragmentation(cluster, r.largest)
-	r.used += span * float64(used)
-	r.freeSum += span * float64(free)
-	r.unusable += span * float64(unusable)
+	free, unusable := placement.Fragmentation(cluster, r.largestShape)
+	r.usedTime += span * float64(used)
+	r.freeTime += span * float64(free)
+	r.unusableTime += span * float64(unusable)
 }
 
 func (r *run) arrive(j *job) {
-	j.entitled = r.fitsGuarantee(j)
+	j.withinGuarantee = r.fitsGuarantee(j)
 	r.waiting = append(r.waiting, j)
 }
 
-// fitsGuarantee tells whether the job fits what its account is guaranteed and
-// does not use, going by accelerators: the claim that reclaim answers.
+// fitsGuarantee reports whether the job fits into the unused part of its account's guarantee, in
+// accelerators, which entitles it to reclaim them.
 func (r *run) fitsGuarantee(j *job) bool {
 	if len(r.down) > 0 {
-		return false // what the lost workers backed can't be claimed
+		return false // guarantees backed by lost workers can't be claimed
 	}
-	total, largest := 0, 0
+	unused, largest := 0, 0
 	for _, g := range r.trace.Accounts[j.Job.Account].Guarantees {
-		total += g.Shape.Accelerators()
+		unused += g.Shape.Accelerators()
 		largest = max(largest, g.Shape.Accelerators())
 	}
 	for _, other := range r.running {
 		if other.Job.Account == j.Job.Account {
-			total -= other.Job.Shape.Accelerators()
+			unused -= other.Job.Shape.Accelerators()
 		}
 	}
 	for _, other := range r.waiting {
 		if other.Job.Account == j.Job.Account {
-			total -= other.Job.Shape.Accelerators()
+			unused -= other.Job.Shape.Accelerators()
 		}
 	}
 	size := j.Job.Shape.Accelerators()
-	return size <= largest && size <= total
+	return size <= largest && size <= unused
 }
 
 func (r *run) fail(id domain.WorkerID) {
@@ -177,7 +177,7 @@
 	for _, j := range append([]*job(nil), r.running...) {
 		for _, a := range j.gang.Placement {
 			if a.Worker == id {
-				r.stopped(j, false)
+				r.endAttempt(j, false)
 				break
 			}
 		}
@@ -187,19 +187,19 @@
 func (r *run) snapshot() scheduler.Snapshot {
 	s := scheduler.Snapshot{
 		Now: epoch.Add(r.now), DataCentre: "dc", Accounts: r.trace.Accounts, Workers: r.trace.Workers,
-		Unschedulable: r.down, Binding: r.binding, Reservations: r.reserved,
+		Unschedulable: r.down, Binding: r.binding, Reservations: r.reservations,
 	}
 	for _, j := range r.running {
 		j.gang.Remaining = r.remaining(j)
 		s.Gangs = append(s.Gangs, *j.gang)
 	}
 	for _, j := range r.waiting {
-		s.Waiting = append(s.Waiting, scheduler.Waiting{Job: j.Job, Class: j.Class, Since: epoch.Add(j.since), Expected: r.expected(j)})
+		s.Waiting = append(s.Waiting, scheduler.Waiting{Job: j.Job, Class: j.Class, Since: epoch.Add(j.submitted), Expected: r.expectedRunTime(j)})
 	}
 	return s
 }
 
-func (r *run) expected(j *job) time.Duration {
+func (r *run) expectedRunTime(j *job) time.Duration {
 	if !r.policy.Learn {
 		return j.Job.Estimate.Std()
 	}
@@ -208,16 +208,16 @@
 
 func (r *run) remaining(j *job) time.Duration {
 	if r.policy.Learn {
-		return r.book.Remaining(j.Job, r.now-j.began)
+		return r.book.Remaining(j.Job, r.now-j.attemptStarted)
 	}
-	return max(time.Minute, j.Job.Estimate.Std()-(r.now-j.began))
+	return max(time.Minute, j.Job.Estimate.Std()-(r.now-j.attemptStarted))
 }
 
 func (r *run) plan() {
 	s := r.snapshot()
 	plan := scheduler.Make(s, r.policy.Policy)
 	r.binding = plan.Binding
-	r.reserved = plan.Reservations
+	r.reservations = plan.Reservations
 	byID := map[domain.JobID]*job{}
 	for _, j := range r.running {
 		byID[j.Job.ID] = j
@@ -235,13 +235,13 @@
 
 func (r *run) preempt(j *job, grace time.Duration) {
 	j.gang.Stopping = true
-	r.queue.At(r.now+grace, j.ifSame(func() { r.stopped(j, j.Class.Checkpointable) }))
+	r.queue.At(r.now+grace, j.ifSameAttempt(func() { r.endAttempt(j, j.Class.Checkpointable) }))
 }
 
 func (r *run) start(j *job, s scheduler.Start) {
 	r.waiting = remove(r.waiting, j)
 	r.running = append(r.running, j)
-	j.began = r.now
+	j.attemptStarted = r.now
 	if j.started < 0 {
 		j.started = r.now
 	}
@@ -249,41 +249,43 @@
 		Job: j.Job, Class: j.Class, Placement: s.Placement, Guaranteed: s.Guaranteed,
 		Started: epoch.Add(r.now), Saved: epoch.Add(r.now),
 	}
-	j.serial++
-	r.queue.At(r.now+j.left, j.ifSame(func() { r.finish(j) }))
+	j.attempt++
+	r.queue.At(r.now+j.remaining, j.ifSameAttempt(func() { r.finish(j) }))
 }
 
-// ifSame does something only if the job still runs in the attempt at hand.
-func (j *job) ifSame(do func()) func() {
-	serial := j.serial
+// ifSameAttempt returns a function that calls f only if the job is still running the current
+// attempt.
+func (j *job) ifSameAttempt(f func()) func() {
+	attempt := j.attempt
 	return func() {
-		if j.serial == serial && j.gang != nil {
-			do()
+		if j.attempt == attempt && j.gang != nil {
+			f()
 		}
 	}
 }
 
 func (r *run) finish(j *job) {
 	j.done = r.now
-	r.book.Learn(j.Job, r.now-j.began)
+	r.book.Learn(j.Job, r.now-j.attemptStarted)
 	j.gang = nil
 	r.running = remove(r.running, j)
 }
 
-// stopped puts a job back; with saved, its progress counts.
-func (r *run) stopped(j *job, saved bool) {
-	ran := r.now - j.began
+// endAttempt ends the job's attempt before the job is done and requeues the job if it is
+// idempotent. With saved set, the attempt's progress counts.
+func (r *run) endAttempt(j *job, saved bool) {
+	elapsed := r.now - j.attemptStarted
 	if saved {
-		j.left -= ran
+		j.remaining -= elapsed
 	} else {
-		r.result.PreemptedAccelH += ran.Hours() * float64(j.Job.Shape.Accelerators())
+		r.result.PreemptedAccelH += elapsed.Hours() * float64(j.Job.Shape.Accelerators())
 	}
-	j.left = max(j.left, time.Second)
+	j.remaining = max(j.remaining, time.Second)
 	j.gang = nil
-	j.serial++
+	j.attempt++
 	r.running = remove(r.running, j)
 	if !j.Class.Idempotent {
-		return // its outcome is unknown; it is not run again
+		return // the outcome is unknown, so the job must not run again
 	}
 	r.waiting = append(r.waiting, j)
 }
@@ -297,9 +299,9 @@
 	return jobs
 }
 
-// reclaimBound is the wait past which a job that fitted its account's unused
-// guarantee counts as a violation: the longest grace, and some decisions.
-const reclaimBound = 10 * time.Second
+// maxReclaimWait is the wait above which a job that fitted into its account's unused guarantee
+// counts as a violation: the longest grace period and a few planning decisions.
+const maxReclaimWait = 10 * time.Second
 
 func (r *run) summarize() Result {
 	out := r.result
@@ -308,20 +310,20 @@
 		out.Total++
 		end := j.done
 		if end < 0 {
-			end = r.now // not done: counted as if it ended now
+			end = r.now // unfinished jobs count as ending now
 		} else {
 			out.Completed++
 		}
-		took := (end - j.since).Seconds()
-		completion = append(completion, took)
-		slowdown = append(slowdown, took/max(j.Run.Seconds(), 60))
-		wait := (j.firstStart(r.now) - j.since).Seconds()
+		completionTime := (end - j.submitted).Seconds()
+		completion = append(completion, completionTime)
+		slowdown = append(slowdown, completionTime/max(j.Run.Seconds(), 60))
+		wait := (j.firstStart(r.now) - j.submitted).Seconds()
 		if j.Job.Shape.Accelerators() >= LargeSize {
 			large = append(large, wait)
 		}
-		if j.entitled {
+		if j.withinGuarantee {
 			reclaim = append(reclaim, wait)
-			if wait > reclaimBound.Seconds() {
+			if wait > maxReclaimWait.Seconds() {
 				out.Violations++
 			}
 		}
@@ -330,9 +332,9 @@
 	out.MeanSlowdown = mean(slowdown)
 	out.LargeP99Wait = quantile(large, 0.99)
 	out.ReclaimP99 = quantile(reclaim, 0.99)
-	out.UtilPct = 100 * r.used / (float64(r.capacity) * r.trace.Length.Seconds())
-	if r.freeSum > 0 {
-		out.FragPct = 100 * r.unusable / r.freeSum
+	out.UtilPct = 100 * r.usedTime / (float64(r.capacity) * r.trace.Length.Seconds())
+	if r.freeTime > 0 {
+		out.FragPct = 100 * r.unusableTime / r.freeTime
 	}
 	return out
 }
--- a/bench/policy/trace.go
+++ b/bench/policy/trace.go
@@ -1,6 +1,6 @@
-// Package policy measures scheduling policies on a seeded trace in virtual
-// time. It drives the scheduler directly: there is no network and no process
-// in it, only arrivals, ends, failures, and what the scheduler decides.
+// Package policy measures scheduling policies on a seeded trace in virtual time. It calls the
+// scheduler directly, without network or processes: the simulation consists of arrivals, ends,
+// failures and scheduling decisions.
 package policy
 
 import (
@@ -13,12 +13,13 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Deployment shapes a trace after one of the users.
+// Deployment describes the load of one user's data centre.
 type Deployment struct {
 	Name string
-	// Classes by share of the accelerator time; their sizes are bounded.
+	// Classes are the job classes with their shares of the accelerator time and their largest
+	// sizes.
 	Classes []classShare
-	// Accounts are the shares of demand of the four accounts.
+	// Accounts are the client accounts with their shares of the demand.
 	Accounts []accountShare
 }
 
@@ -41,21 +42,21 @@
 }
 
 var (
-	checkpointed = domain.Class{Kind: domain.JobClass, Idempotent: true, Checkpointable: true, Grace: domain.Duration(2 * time.Second)}
-	restartable  = domain.Class{Kind: domain.JobClass, Idempotent: true}
-	urgent       = domain.Class{Kind: domain.JobClass, Idempotent: true, Urgent: true, Priority: 20}
-	once         = domain.Class{Kind: domain.JobClass}
+	checkpointed  = domain.Class{Kind: domain.JobClass, Idempotent: true, Checkpointable: true, Grace: domain.Duration(2 * time.Second)}
+	restartable   = domain.Class{Kind: domain.JobClass, Idempotent: true}
+	urgent        = domain.Class{Kind: domain.JobClass, Idempotent: true, Urgent: true, Priority: 20}
+	nonIdempotent = domain.Class{Kind: domain.JobClass}
 )
 
-// Deployments are the two users' data centres, 16 workers of 8 accelerators in
-// 2 racks each, with 4 accounts of uneven demand. The guarantees come to one
-// rack, so that gangs of a whole rack have one to wait for.
+// Deployments are the data centres of the two users, each with 16 workers of 8 accelerators in 2
+// racks and 4 accounts of unequal demand. The guarantees add up to one rack, which leaves the
+// other rack for gangs that need a whole one.
 var Deployments = []Deployment{
 	{Name: "midlands", Accounts: fourAccounts, Classes: []classShare{
 		{checkpointed, "forecast", 0.75, 64}, {restartable, "batch", 0.22, 32}, {urgent, "urgent", 0.03, 16},
 	}},
 	{Name: "vestmark", Accounts: fourAccounts, Classes: []classShare{
-		{checkpointed, "rebuild", 0.75, 64}, {restartable, "batch", 0.10, 32}, {once, "replot", 0.15, 16},
+		{checkpointed, "rebuild", 0.75, 64}, {restartable, "batch", 0.10, 32}, {nonIdempotent, "replot", 0.15, 16},
 	}},
 }
 
@@ -66,22 +67,22 @@
 	{"d", 0.10, 1, []domain.Shape{rackShape(1)}},
 }
 
-// Arrival is one job of a trace with the run time that only the trace knows.
+// Arrival is one job of a trace.
 type Arrival struct {
 	At  time.Duration
 	Job domain.Job
-	// Class of the job, and its true run time.
+	// Class is the class of the job. Run is its true run time, which the scheduler does not see.
 	Class domain.Class
 	Run   time.Duration
 }
 
-// Outage takes a worker away for a while.
+// Outage removes a worker for a period.
 type Outage struct {
 	Worker   domain.WorkerID
 	From, To time.Duration
 }
 
-// Trace is everything that happens from outside.
+// Trace holds all external events of a simulation.
 type Trace struct {
 	Workers  []domain.Worker
 	Accounts map[domain.AccountID]domain.ClientAccount
@@ -90,26 +91,26 @@
 	Length   time.Duration
 }
 
-// sizes of jobs in accelerators, with how often each is submitted.
+// sizes are the job sizes in accelerators and how frequently each is submitted.
 var sizes = []struct {
 	accelerators int
-	often        float64
+	frequency    float64
 }{{1, 0.36}, {2, 0.16}, {4, 0.16}, {8, 0.14}, {16, 0.08}, {32, 0.06}, {64, 0.04}}
 
-// LargeSize is the size from which a gang counts as large: half a rack.
+// LargeSize is the size in accelerators from which a gang counts as large: half a rack.
 const LargeSize = 32
 
-// The run times' distribution: log-normal, of about half an hour in the middle.
+// Run times follow a log-normal distribution with a median of half an hour.
 const (
 	medianRun = 30 * time.Minute
 	sigmaRun  = 1.1
 	maxRun    = 24 * time.Hour
-	// sigmaLie makes one declaration in three off by more than four times.
-	sigmaLie = 1.4
+	// With sigmaEstimate, one estimate in three is off by a factor of more than four.
+	sigmaEstimate = 1.4
 )
 
-// Generate makes a trace of the given length at an offered load (1 is all
-// accelerators all the time).
+// Generate makes a trace of the given length at an offered load; 1 means that all accelerators are
+// always needed.
 func Generate(d Deployment, load float64, length time.Duration, seed uint64) Trace {
 	g := generator{random: rand.New(rand.NewPCG(seed, 0x636f62616c74)), d: d}
 	t := Trace{Workers: fleet(2, 8), Length: length, Accounts: map[domain.AccountID]domain.ClientAccount{}}
@@ -153,7 +154,7 @@
 	d      Deployment
 }
 
-// burst draws one job, or now and then a dozen that arrive together.
+// burst draws one job, or occasionally 6 to 17 that arrive together.
 func (g *generator) burst(length time.Duration) []Arrival {
 	at := time.Duration(g.random.Float64() * float64(length))
 	account := g.account()
@@ -182,7 +183,7 @@
 func (g *generator) size() int {
 	x := g.random.Float64()
 	for _, s := range sizes {
-		if x -= s.often; x < 0 {
+		if x -= s.frequency; x < 0 {
 			return s.accelerators
 		}
 	}
@@ -203,18 +204,19 @@
 	class := g.class(size)
 	run := time.Duration(float64(medianRun) * math.Exp(sigmaRun*g.random.NormFloat64()))
 	run = min(max(run, time.Minute), maxRun)
-	lie := math.Exp(sigmaLie * g.random.NormFloat64())
+	estimateError := math.Exp(sigmaEstimate * g.random.NormFloat64())
 	shape := domain.Shape{Tasks: 1, PerTask: domain.Resources{Accelerators: size, CPU: size, MemoryMiB: 2000 * size}, Adjacency: domain.SameWorker}
 	if size > 8 {
 		shape = rackShape(size / 8)
 	}
 	return Arrival{At: at, Class: class.class, Run: run, Job: domain.Job{
 		Account: account, Class: class.name, DataCentre: "dc", Shape: shape,
-		Estimate: domain.Duration(max(time.Minute, time.Duration(float64(run)*lie))),
+		Estimate: domain.Duration(max(time.Minute, time.Duration(float64(run)*estimateError))),
 	}}
 }
 
-// outages fail single workers now and then, and one rack in the middle.
+// outages draws random failures of single workers, and one outage of a rack halfway through the
+// trace.
 func (g *generator) outages(workers []domain.Worker, length time.Duration) []Outage {
 	var out []Outage
 	const meanBetween = 300 * time.Hour
--- a/bench/policy_test.go
+++ b/bench/policy_test.go
@@ -1,5 +1,5 @@
-// Package bench holds the load experiments: policies in virtual time, routing
-// in virtual time, and what the daemons cost.
+// Package bench holds the load experiments: scheduling policies and routing policies in virtual
+// time, and the resource use of the daemons.
 package bench
 
 import (
@@ -31,7 +31,7 @@
 }
 
 func reportPolicy(b *testing.B, r policy.Result) {
-	b.ReportMetric(0, "ns/op") // virtual time: the wall's says nothing
+	b.ReportMetric(0, "ns/op") // wall-clock time is meaningless for a run in virtual time
 	b.ReportMetric(r.MeanCompletion, "mean-completion-s")
 	b.ReportMetric(r.P99Completion, "p99-completion-s")
 	b.ReportMetric(r.MeanSlowdown, "mean-slowdown")
--- a/bench/proofs_test.go
+++ b/bench/proofs_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// Every test that docs/PROOFS.md names exists.
-func TestEveryNamedProofExists(t *testing.T) {
+// Guards against test names in docs/PROOFS.md that no longer exist after a test is renamed or
+// removed.
+func TestEveryTestNamedInProofsExists(t *testing.T) {
 	page, err := os.ReadFile("../docs/PROOFS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -32,11 +33,11 @@
 	}
 	names := regexp.MustCompile(`Test[A-Z][A-Za-z0-9]+`).FindAllString(string(page), -1)
 	if len(names) < 20 {
-		t.Fatalf("only %d tests are named", len(names))
+		t.Fatalf("docs/PROOFS.md names only %d tests, want at least 20", len(names))
 	}
 	for _, name := range names {
 		if !defined[name] {
-			t.Errorf("%s is named and does not exist", name)
+			t.Errorf("docs/PROOFS.md names %s, which does not exist", name)
 		}
 	}
 }
--- a/bench/proxy_test.go
+++ b/bench/proxy_test.go
@@ -22,7 +22,8 @@
 	"github.com/cobalttide/cobalttide/standin"
 )
 
-// startProxy starts one instance and a stand-in over loopback TCP.
+// startProxy starts one instance and a platform stand-in over loopback TCP. It returns the
+// instance and the address of a backend server.
 func startProxy(b *testing.B) (in *instance.Instance, backend string) {
 	b.Helper()
 	platform, err := standin.Start(standin.Fleet{DataCentres: []standin.FleetDataCentre{{
@@ -64,15 +65,15 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	time.Sleep(300 * time.Millisecond) // the first list is read
+	time.Sleep(300 * time.Millisecond) // wait until the instance has read the first list
 	if _, refusal := in.Apply(context.Background(), string(raw), 0, "one", "bench"); refusal != nil {
 		b.Fatal(refusal)
 	}
 	return in, platform.Backends()[0].Spec.Address
 }
 
-// BenchmarkProxy measures a request through an instance against the same
-// request straight to a backend server, over loopback in the same run.
+// BenchmarkProxy measures a request through an instance and the same request sent directly to a
+// backend server, over loopback in the same run.
 func BenchmarkProxy(b *testing.B) {
 	in, backend := startProxy(b)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
@@ -110,7 +111,7 @@
 		b.Fatal(err)
 	}
 	raw, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // it is read
+	_ = response.Body.Close() // the body has been read
 	if err != nil || response.StatusCode != http.StatusOK {
 		b.Fatalf("%d %s %v", response.StatusCode, raw, err)
 	}
--- a/bench/route/route.go
+++ b/bench/route/route.go
@@ -1,6 +1,6 @@
-// Package route measures routing policies in virtual time: the real table and
-// its decisions against backend servers that are a queue with slots each. No
-// network is emulated; an answer comes when its service has ended.
+// Package route measures routing policies in virtual time. It runs the real routing table and its
+// decisions against simulated backend servers, each with a queue and a number of slots. There is
+// no network latency: an answer arrives when its service ends.
 package route
 
 import (
@@ -14,20 +14,20 @@
 	"github.com/cobalttide/cobalttide/requests/routing"
 )
 
-// Scenario is a load and what fails meanwhile.
+// Scenario is a load with faults.
 type Scenario struct {
 	Name string
-	// Load is the offered load as a share of all slots.
+	// Load is the offered load as a share of the capacity of all slots.
 	Load float64
 	// Slow multiplies the service time of backend 0; 0 means 1.
 	Slow float64
-	// BlackHole makes backend 0 answer with errors at once.
+	// BlackHole makes backend 0 answer immediately with errors.
 	BlackHole bool
-	// Rolling takes one backend after another away for a second.
+	// Rolling makes the backends unavailable one after another, for one second each.
 	Rolling bool
 }
 
-// Scenarios are those that every policy is measured in.
+// Scenarios are the scenarios in which every policy is measured.
 var Scenarios = []Scenario{
 	{Name: "steady-70", Load: 0.7},
 	{Name: "overload-200", Load: 2},
@@ -36,46 +36,45 @@
 	{Name: "rolling-restart", Load: 0.7, Rolling: true},
 }
 
-// Policies are the baselines, an ideal that no real instance can reach, and the
-// one that ships.
+// Policies are the baselines, an ideal that no real instance can reach, and the shipped policy.
 var Policies = []string{"random", "round-robin", "least-own-load", "ideal-central-queue", "cobalttide"}
 
-// The size of the world.
+// Parameters of the simulation.
 const (
 	backends    = 8
 	slots       = 8
 	instances   = 6
 	meanService = 20 * time.Millisecond
 	expectation = 500 * time.Millisecond
-	length      = 20 * time.Second
-	// queue bounds what waits at one backend server, its connections.
-	queue = 60
-	// gatePerSlot is the share of instance.gatePerSlot.
+	duration    = 20 * time.Second
+	// maxQueued limits the requests that wait at one backend server, as its connections do.
+	maxQueued = 60
+	// gatePerSlot is the number of admitted requests per slot, as instance.gatePerSlot.
 	gatePerSlot = 1.5
 	maxTries    = 3
-	// marginServices is that of limit.Gate, which waits in real time and is
-	// played here.
-	marginServices = 4
+	// marginServiceTimes is that of limit.Gate, which waits in real time and is therefore modelled
+	// here.
+	marginServiceTimes = 4
 )
 
-// Result is what a run measured.
+// Result holds the measurements of one run.
 type Result struct {
 	P50, P99 time.Duration
-	// GoodputPct is what completed once and in time, as a share of what the
-	// offered load and the capacity allow.
+	// GoodputPct is the share of requests completed once and in time, relative to what the offered
+	// load and the capacity allow.
 	GoodputPct     float64
 	AttemptsPerReq float64
-	// Lost are requests without an answer in time, as a share of all.
+	// LostPct is the share of all requests that got no answer in time.
 	LostPct float64
 }
 
 type request struct {
-	arrived  time.Duration
-	service  time.Duration
-	instance int
-	tries    int
-	tried    []*routing.Backend
-	ended    bool
+	arrived     time.Duration
+	serviceTime time.Duration
+	instance    int
+	tries       int
+	tried       []*routing.Backend
+	ended       bool
 }
 
 type server struct {
@@ -91,48 +90,48 @@
 	sent    time.Duration
 }
 
-type world struct {
-	scenario Scenario
-	policy   string
-	random   *rand.Rand
-	now      time.Duration
-	queue    virtual.Queue
-	servers  []*server
-	tables   []*routing.Table
-	handles  []map[int]*routing.Backend
-	next     []int // round robin
-	own      [][]int
-	through  []int // requests past each instance's gate
-	gate     [][]*request
-	central  []*request
-	down     int
-	times    []time.Duration
-	offered  int
-	attempts int
-	good     int
+type simulation struct {
+	scenario     Scenario
+	policy       string
+	random       *rand.Rand
+	now          time.Duration
+	queue        virtual.Queue
+	servers      []*server
+	tables       []*routing.Table
+	handles      []map[int]*routing.Backend
+	nextBackend  []int // for round-robin, by instance
+	inFlight     [][]int
+	admitted     []int // requests past the gate, by instance
+	gateQueues   [][]*request
+	centralQueue []*request
+	downBackend  int
+	latencies    []time.Duration
+	offered      int
+	attempts     int
+	inTime       int
 }
 
 var epoch = time.Unix(1_000_000, 0)
 
-// Run plays a scenario under a policy.
+// Run simulates a scenario under a policy.
 func Run(s Scenario, policy string, seed uint64) Result {
-	w := &world{scenario: s, policy: policy, random: rand.New(rand.NewPCG(seed, 7)), down: -1}
-	w.build()
-	w.arrivals()
-	for _, more := w.queue.Next(); more; _, more = w.queue.Next() {
-		at, do := w.queue.Pop()
-		w.now = at
+	sim := &simulation{scenario: s, policy: policy, random: rand.New(rand.NewPCG(seed, 7)), downBackend: -1}
+	sim.build()
+	sim.arrivals()
+	for _, more := sim.queue.Next(); more; _, more = sim.queue.Next() {
+		at, do := sim.queue.Pop()
+		sim.now = at
 		do()
 	}
-	return w.result()
+	return sim.result()
 }
 
-func (w *world) clock() time.Time { return epoch.Add(w.now) }
+func (sim *simulation) clock() time.Time { return epoch.Add(sim.now) }
 
-func (w *world) build() {
+func (sim *simulation) build() {
 	var specs []domain.BackendServer
 	for i := range backends {
-		w.servers = append(w.servers, &server{id: i})
+		sim.servers = append(sim.servers, &server{id: i})
 		specs = append(specs, domain.BackendServer{ID: string(rune('a' + i)), Address: string(rune('a' + i)), DataCentre: "dc", Slots: slots})
 	}
 	for range instances {
@@ -142,90 +141,90 @@
 		for _, b := range table.Backends() {
 			handles[int(b.Spec.ID[0]-'a')] = b
 		}
-		w.tables = append(w.tables, table)
-		w.handles = append(w.handles, handles)
-		w.next = append(w.next, 0)
-		w.own = append(w.own, make([]int, backends))
-		w.through = append(w.through, 0)
-		w.gate = append(w.gate, nil)
+		sim.tables = append(sim.tables, table)
+		sim.handles = append(sim.handles, handles)
+		sim.nextBackend = append(sim.nextBackend, 0)
+		sim.inFlight = append(sim.inFlight, make([]int, backends))
+		sim.admitted = append(sim.admitted, 0)
+		sim.gateQueues = append(sim.gateQueues, nil)
 	}
-	if w.scenario.Rolling {
+	if sim.scenario.Rolling {
 		for i := range backends {
-			w.queue.At(time.Duration(2+2*i)*time.Second, func() { w.down = i })
-			w.queue.At(time.Duration(3+2*i)*time.Second, func() { w.down = -1 })
+			sim.queue.At(time.Duration(2+2*i)*time.Second, func() { sim.downBackend = i })
+			sim.queue.At(time.Duration(3+2*i)*time.Second, func() { sim.downBackend = -1 })
 		}
 	}
 }
 
-func (w *world) arrivals() {
-	rate := w.scenario.Load * backends * slots / meanService.Seconds()
-	for at := 0.0; at < length.Seconds(); at += w.random.ExpFloat64() / rate {
+func (sim *simulation) arrivals() {
+	rate := sim.scenario.Load * backends * slots / meanService.Seconds()
+	for at := 0.0; at < duration.Seconds(); at += sim.random.ExpFloat64() / rate {
 		r := &request{
-			arrived: time.Duration(at * float64(time.Second)), instance: w.random.IntN(instances),
-			service: time.Duration(w.random.ExpFloat64() * float64(meanService)),
+			arrived: time.Duration(at * float64(time.Second)), instance: sim.random.IntN(instances),
+			serviceTime: time.Duration(sim.random.ExpFloat64() * float64(meanService)),
 		}
-		w.offered++
-		w.queue.At(r.arrived, func() { w.arrive(r) })
+		sim.offered++
+		sim.queue.At(r.arrived, func() { sim.arrive(r) })
 	}
 }
 
-// arrive passes the instance's gate, which only the policy that ships has.
-func (w *world) arrive(r *request) {
-	if w.policy == "cobalttide" {
-		places := int(gatePerSlot * backends * slots / instances)
-		if w.through[r.instance] >= places {
-			w.gate[r.instance] = append(w.gate[r.instance], r)
+// arrive sends a request through the instance's admission gate, which only the shipped policy has.
+func (sim *simulation) arrive(r *request) {
+	if sim.policy == "cobalttide" {
+		limit := int(gatePerSlot * backends * slots / instances)
+		if sim.admitted[r.instance] >= limit {
+			sim.gateQueues[r.instance] = append(sim.gateQueues[r.instance], r)
 			return
 		}
-		w.through[r.instance]++
+		sim.admitted[r.instance]++
 	}
-	w.send(r)
+	sim.send(r)
 }
 
-func (w *world) send(r *request) {
-	if w.policy == "ideal-central-queue" {
-		w.central = append(w.central, r)
-		w.feed()
+func (sim *simulation) send(r *request) {
+	if sim.policy == "ideal-central-queue" {
+		sim.centralQueue = append(sim.centralQueue, r)
+		sim.serveCentralQueue()
 		return
 	}
-	i, handle := w.choose(r)
+	i, handle := sim.chooseBackend(r)
 	if i < 0 {
-		w.finish(r, false)
+		sim.finish(r, false)
 		return
 	}
 	r.tries++
-	w.attempts++
-	d := &dispatch{r: r, backend: i, handle: handle, sent: w.now}
-	w.own[r.instance][i]++
-	s := w.servers[i]
+	sim.attempts++
+	d := &dispatch{r: r, backend: i, handle: handle, sent: sim.now}
+	sim.inFlight[r.instance][i]++
+	s := sim.servers[i]
 	switch {
-	case i == w.down, len(s.waiting) >= queue:
-		w.answer(d, false)
-	case i == 0 && w.scenario.BlackHole:
-		w.queue.At(w.now+time.Millisecond, func() { w.answer(d, false) })
+	case i == sim.downBackend, len(s.waiting) >= maxQueued:
+		sim.complete(d, false)
+	case i == 0 && sim.scenario.BlackHole:
+		sim.queue.At(sim.now+time.Millisecond, func() { sim.complete(d, false) })
 	default:
 		s.waiting = append(s.waiting, d)
-		w.work(s)
+		sim.startServices(s)
 	}
 }
 
-func (w *world) choose(r *request) (int, *routing.Backend) {
-	switch w.policy {
+func (sim *simulation) chooseBackend(r *request) (int, *routing.Backend) {
+	switch sim.policy {
 	case "random":
-		return w.random.IntN(backends), nil
+		return sim.random.IntN(backends), nil
 	case "round-robin":
-		w.next[r.instance]++
-		return w.next[r.instance] % backends, nil
+		sim.nextBackend[r.instance]++
+		return sim.nextBackend[r.instance] % backends, nil
 	case "least-own-load":
-		best := w.random.IntN(backends)
+		best := sim.random.IntN(backends)
 		for i := range backends {
-			if w.own[r.instance][i] < w.own[r.instance][best] {
+			if sim.inFlight[r.instance][i] < sim.inFlight[r.instance][best] {
 				best = i
 			}
 		}
 		return best, nil
 	}
-	b := w.tables[r.instance].Pick(w.clock(), w.random.Uint32, r.tried)
+	b := sim.tables[r.instance].Pick(sim.clock(), sim.random.Uint32, r.tried)
 	if b == nil {
 		return -1, nil
 	}
@@ -233,107 +232,107 @@
 	return int(b.Spec.ID[0] - 'a'), b
 }
 
-func (w *world) work(s *server) {
+func (sim *simulation) startServices(s *server) {
 	for s.busy < slots && len(s.waiting) > 0 {
 		d := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		s.busy++
-		w.queue.At(w.now+w.serviceOf(s, d.r), func() {
+		sim.queue.At(sim.now+sim.serviceTime(s, d.r), func() {
 			s.busy--
-			w.answer(d, true)
-			w.work(s)
+			sim.complete(d, true)
+			sim.startServices(s)
 		})
 	}
 }
 
-func (w *world) serviceOf(s *server, r *request) time.Duration {
-	if s.id == 0 && w.scenario.Slow > 0 {
-		return time.Duration(float64(r.service) * w.scenario.Slow)
+func (sim *simulation) serviceTime(s *server, r *request) time.Duration {
+	if s.id == 0 && sim.scenario.Slow > 0 {
+		return time.Duration(float64(r.serviceTime) * sim.scenario.Slow)
 	}
-	return r.service
+	return r.serviceTime
 }
 
-// feed is the ideal: one queue, and every free slot takes its head.
-func (w *world) feed() {
-	for _, s := range w.servers {
-		useless := s.id == w.down || (s.id == 0 && (w.scenario.BlackHole || w.scenario.Slow > 0))
-		for !useless && s.busy < slots && len(w.central) > 0 {
-			r := w.central[0]
-			w.central = w.central[1:]
-			if w.now-r.arrived > expectation {
-				w.finish(r, false)
+// serveCentralQueue models the ideal: all free slots take requests from one shared queue.
+func (sim *simulation) serveCentralQueue() {
+	for _, s := range sim.servers {
+		unusable := s.id == sim.downBackend || (s.id == 0 && (sim.scenario.BlackHole || sim.scenario.Slow > 0))
+		for !unusable && s.busy < slots && len(sim.centralQueue) > 0 {
+			r := sim.centralQueue[0]
+			sim.centralQueue = sim.centralQueue[1:]
+			if sim.now-r.arrived > expectation {
+				sim.finish(r, false)
 				continue
 			}
 			s.busy++
-			w.attempts++
-			w.queue.At(w.now+r.service, func() {
+			sim.attempts++
+			sim.queue.At(sim.now+r.serviceTime, func() {
 				s.busy--
-				w.finish(r, true)
-				w.feed()
+				sim.finish(r, true)
+				sim.serveCentralQueue()
 			})
 		}
 	}
 }
 
-func (w *world) answer(d *dispatch, ok bool) {
-	w.own[d.r.instance][d.backend]--
+func (sim *simulation) complete(d *dispatch, ok bool) {
+	sim.inFlight[d.r.instance][d.backend]--
 	if d.handle != nil {
-		d.handle.Report(w.servers[d.backend].busy+len(w.servers[d.backend].waiting), w.clock())
-		w.tables[d.r.instance].Done(d.handle, w.now-d.sent, !ok, w.clock())
+		d.handle.Report(sim.servers[d.backend].busy+len(sim.servers[d.backend].waiting), sim.clock())
+		sim.tables[d.r.instance].Done(d.handle, sim.now-d.sent, !ok, sim.clock())
 	}
-	if !ok && d.r.tries < maxTries && w.now-d.r.arrived < expectation {
-		w.send(d.r)
+	if !ok && d.r.tries < maxTries && sim.now-d.r.arrived < expectation {
+		sim.send(d.r)
 		return
 	}
-	w.finish(d.r, ok)
+	sim.finish(d.r, ok)
 }
 
-func (w *world) finish(r *request, ok bool) {
+func (sim *simulation) finish(r *request, ok bool) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	took := w.now - r.arrived
+	latency := sim.now - r.arrived
 	if ok {
-		w.times = append(w.times, took)
+		sim.latencies = append(sim.latencies, latency)
 	}
-	if ok && took <= expectation {
-		w.good++
+	if ok && latency <= expectation {
+		sim.inTime++
 	}
-	if w.policy == "cobalttide" {
-		w.through[r.instance]--
-		w.nextAtGate(r.instance)
+	if sim.policy == "cobalttide" {
+		sim.admitted[r.instance]--
+		sim.admitNext(r.instance)
 	}
 }
 
-// nextAtGate lets the oldest waiter through that can still be in time, and
-// refuses the others at once.
-func (w *world) nextAtGate(instance int) {
-	for len(w.gate[instance]) > 0 {
-		r := w.gate[instance][0]
-		w.gate[instance] = w.gate[instance][1:]
-		if w.now-r.arrived+marginServices*gatePerSlot*meanService > expectation {
+// admitNext admits the oldest waiting request that can still complete in time and refuses the ones
+// before it.
+func (sim *simulation) admitNext(instance int) {
+	for len(sim.gateQueues[instance]) > 0 {
+		r := sim.gateQueues[instance][0]
+		sim.gateQueues[instance] = sim.gateQueues[instance][1:]
+		if sim.now-r.arrived+marginServiceTimes*gatePerSlot*meanService > expectation {
 			r.ended = true
 			continue
 		}
-		w.through[instance]++
-		w.send(r)
+		sim.admitted[instance]++
+		sim.send(r)
 		return
 	}
 }
 
-func (w *world) result() Result {
-	sort.Slice(w.times, func(i, j int) bool { return w.times[i] < w.times[j] })
+func (sim *simulation) result() Result {
+	sort.Slice(sim.latencies, func(i, j int) bool { return sim.latencies[i] < sim.latencies[j] })
 	at := func(q float64) time.Duration {
-		if len(w.times) == 0 {
+		if len(sim.latencies) == 0 {
 			return 0
 		}
-		return w.times[int(q*float64(len(w.times)-1))]
+		return sim.latencies[int(q*float64(len(sim.latencies)-1))]
 	}
-	possible := math.Min(1, 1/w.scenario.Load) * float64(w.offered)
+	possible := math.Min(1, 1/sim.scenario.Load) * float64(sim.offered)
 	return Result{
-		P50: at(0.5), P99: at(0.99), GoodputPct: 100 * float64(w.good) / possible,
-		AttemptsPerReq: float64(w.attempts) / float64(w.offered),
-		LostPct:        100 * (1 - float64(w.good)/float64(w.offered)),
+		P50: at(0.5), P99: at(0.99), GoodputPct: 100 * float64(sim.inTime) / possible,
+		AttemptsPerReq: float64(sim.attempts) / float64(sim.offered),
+		LostPct:        100 * (1 - float64(sim.inTime)/float64(sim.offered)),
 	}
 }
--- a/bench/route_test.go
+++ b/bench/route_test.go
@@ -16,7 +16,7 @@
 			b.Run(s.Name+"/"+policy, func(b *testing.B) {
 				for range b.N {
 					r := route.Run(s, policy, *seed)
-					b.ReportMetric(0, "ns/op") // virtual time: the wall's says nothing
+					b.ReportMetric(0, "ns/op") // wall-clock time is meaningless for a run in virtual time
 					b.ReportMetric(float64(r.P50.Microseconds())/1000, "p50-ms")
 					b.ReportMetric(float64(r.P99.Microseconds())/1000, "p99-ms")
 					b.ReportMetric(r.GoodputPct, "goodput-pct")
@@ -28,7 +28,7 @@
 	}
 }
 
-func tableOf(backends int) *routing.Table {
+func newTable(backends int) *routing.Table {
 	table := routing.NewTable("dc", routing.DefaultOptions())
 	var specs []domain.BackendServer
 	for i := range backends {
@@ -38,11 +38,11 @@
 	return table
 }
 
-// BenchmarkRouteDecision measures one choice of a backend server.
+// BenchmarkRouteDecision measures the choice of a backend server.
 func BenchmarkRouteDecision(b *testing.B) {
 	for _, backends := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
-			table := tableOf(backends)
+			table := newTable(backends)
 			now := time.Unix(1_000_000, 0)
 			b.ReportAllocs()
 			for range b.N {
--- a/bench/state_test.go
+++ b/bench/state_test.go
@@ -25,7 +25,7 @@
 		}
 		record, err := state.NewRecord(fmt.Sprint("accepted/", i), state.KindAccepted, state.Accepted{Job: job, Digest: "0123456789abcdef"})
 		if err != nil {
-			panic(err) // jobs hold nothing that can't be marshalled
+			panic(err) // jobs contain only types that can be marshalled
 		}
 		out = append(out, record)
 	}
@@ -34,8 +34,8 @@
 
 var stateSizes = []int{500, 1000, 2000, 5000, 10000}
 
-// BenchmarkRecovery measures the time from an empty instance to one that has
-// folded all jobs, from the log's records and from a peer's image.
+// BenchmarkRecovery measures how long an empty instance takes to fold all jobs, from the log's
+// records and from a peer's image.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range stateSizes {
 		records := jobRecords(n)
@@ -64,15 +64,15 @@
 			for range b.N {
 				var image state.Image
 				if err := json.Unmarshal(raw, &image); err != nil || !state.NewJobs().Load(image) {
-					b.Fatal("the image does not load")
+					b.Fatal("the image can't be decoded or loaded")
 				}
 			}
 		})
 	}
 }
 
-// heapOf returns the bytes that what build returns keeps alive.
-func heapOf(build func() any) float64 {
+// heapGrowth returns the number of heap bytes that the result of build keeps alive.
+func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -83,14 +83,13 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkMemory measures what one job, one attempt and one member keep in
-// memory.
+// BenchmarkMemory measures the memory used per job, attempt and member.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range stateSizes {
 		b.Run(fmt.Sprintf("jobs=%d", n), func(b *testing.B) {
 			records := jobRecords(n)
 			for range b.N {
-				heap := heapOf(func() any {
+				heap := heapGrowth(func() any {
 					jobs := state.NewJobs()
 					for _, record := range records {
 						if err := jobs.Fold(record); err != nil {
@@ -104,13 +103,13 @@
 		})
 		b.Run(fmt.Sprintf("attempts=%d", n), func(b *testing.B) {
 			for range b.N {
-				heap := heapOf(func() any { return ledgerOf(b, n) })
+				heap := heapGrowth(func() any { return newLedger(b, n) })
 				b.ReportMetric(heap/float64(n), "B/attempt")
 			}
 		})
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			for range b.N {
-				heap := heapOf(func() any {
+				heap := heapGrowth(func() any {
 					t := membership.NewTable(membership.Member{ID: "self"}, membership.DefaultOptions())
 					for i := range n {
 						t.Merge([]membership.Member{{ID: domain.InstanceID(fmt.Sprint("i", i)), DataCentre: "dc", Address: fmt.Sprint("10.0.0.1:", i), State: membership.Alive}}, time.Unix(1, 0))
@@ -123,7 +122,7 @@
 	}
 }
 
-func ledgerOf(b *testing.B, n int) *attempt.Ledger {
+func newLedger(b *testing.B, n int) *attempt.Ledger {
 	ledger := attempt.NewLedger()
 	for i := range n {
 		record, err := state.NewRecord(fmt.Sprint("i/", i), attempt.KindAttempt, attempt.Attempt{Key: attempt.Key{Account: "a", ID: fmt.Sprint("request-", i)}, Digest: "0123456789abcdef0123456789abcdef", Instance: "i"})
@@ -137,8 +136,8 @@
 	return ledger
 }
 
-// BenchmarkConfig measures folding one change into configurations of rising
-// size, and what a change weighs in the log.
+// BenchmarkConfig measures folding one change into configurations of increasing size, and the
+// encoded size of a change.
 func BenchmarkConfig(b *testing.B) {
 	for _, accounts := range []int{4, 20, 100, 230, 460} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -163,7 +162,7 @@
 			for i := range b.N {
 				change.ID, change.Base = fmt.Sprint(i), configuration.Version(i+1)
 				if !store.Fold(int64(i), change).Accepted {
-					b.Fatal("not accepted")
+					b.Fatal("the change was not accepted")
 				}
 			}
 		})
