--- a/internal/clock/bare_test.go
+++ b/internal/clock/bare_test.go
@@ -15,19 +15,19 @@
 	readings int
 	why      string
 }{
-	"workload/service/orders.go":  {3, "how long one call took"},
-	"workload/service/states.go":  {1, "what is left of a caller's time, which is the runtime's"},
-	"workload/service/planner.go": {10, "how long a round and a write took; the time of day"},
-	"workload/service/commit.go":  {2, "how long one append took"},
-	"workload/service/waking.go":  {3, "held against the clock of ages"},
-	"workload/service/members.go": {2, "a pause at the start"},
-	"workload/service/follow.go":  {2, "the pause between two reads"},
-	"workload/service/service.go": {1, "what is left of a caller's time"},
-	"workload/service/forget.go":  {1, "the time of day"},
-	"platform/writes.go":          {7, "patience with one call: a suspension makes it look shorter, and the call is not repeated sooner"},
-	"platform/store.go":           {5, "how long one call took"},
-	"platform/front.go":           {3, "how long one call took; the time of day"},
-	"platform/router.go":          {10, "rests of ways that failed: they last longer by a suspension"},
+	"workload/service/orders.go":     {3, "how long one call took"},
+	"workload/service/states.go":     {1, "what is left of a caller's time, which is the runtime's"},
+	"workload/service/planner.go":    {10, "how long a round and a write took; the time of day"},
+	"workload/service/committer.go":  {2, "how long one append took"},
+	"workload/service/suspension.go": {3, "held against the clock of ages"},
+	"workload/service/members.go":    {2, "a pause at the start"},
+	"workload/service/follower.go":   {2, "the pause between two reads"},
+	"workload/service/service.go":    {1, "what is left of a caller's time"},
+	"workload/service/retention.go":  {1, "the time of day"},
+	"platform/writes.go":             {7, "patience with one call: a suspension makes it look shorter, and the call is not repeated sooner"},
+	"platform/store.go":              {5, "how long one call took"},
+	"platform/front.go":              {3, "how long one call took; the time of day"},
+	"platform/router.go":             {10, "rests of ways that failed: they last longer by a suspension"},
 }
 
 var reading = regexp.MustCompile(`time\.(Now|Since|Until)\(`)
--- a/workload/decide/mechanism.go
+++ b/workload/decide/mechanism.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		if !slices.Contains(Mechanisms, Mechanism(name)) {
-			return nil, fmt.Errorf("unknown mechanism %q: valid names are %v", name, Mechanisms)
+			return nil, fmt.Errorf("unknown mechanism %q: name some of %v", name, Mechanisms)
 		}
 		out[Mechanism(name)] = true
 	}
--- a/workload/service/entry_error.go
+++ b/workload/service/entry_error.go
@@ -31,7 +31,7 @@
 // Error implements error.
 func (e *EntryError) Error() string {
 	if e.Field == "" {
-		return fmt.Sprintf("the entry %s: use the format that the platform documents", e.Problem)
+		return fmt.Sprintf("the entry %s: write it in the format that the platform documents", e.Problem)
 	}
-	return fmt.Sprintf("%s %s: use the format that the platform documents", e.Field, e.Problem)
+	return fmt.Sprintf("%s %s: write it in the format that the platform documents", e.Field, e.Problem)
 }
