--- a/workload/control/advice_test.go
+++ b/workload/control/advice_test.go
@@ -10,7 +10,8 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// advisedCore has n workers that answer, and one job of an advised queue.
+// advisedCore returns a planner's core with n reachable workers and one job, whose queue has a
+// policy.
 func advisedCore(n int, at time.Time, step workload.Step) *control.Core {
 	c := control.New(simBounds, 1, at)
 	c.Configure(control.Configuration{Version: 1})
@@ -33,13 +34,14 @@
 	return c
 }
 
+// round runs a round and returns its start orders.
 func round(c *control.Core, at time.Time) []control.StartOrder {
 	c.Round(at, at.UnixMilli())
 	c.Changes()
 	return c.Persisted(at)
 }
 
-// allow answers a call: workers with an even number are good.
+// allow answers a call for advice: workers with an even number are allowed.
 func allow(c *control.Core, o control.AdviceOrder, at time.Time) {
 	good := map[string]string{}
 	for _, id := range o.Workers {
@@ -50,36 +52,36 @@
 	c.Advised(o, control.AdviceAnswer{OK: true, Good: good, ValidFor: 2 * time.Second}, at, at)
 }
 
-func TestAnAdvisedStepStartsOnlyOnWorkersThatItsPolicyAllows(t *testing.T) {
+func TestAdvisedStepStartsOnlyOnAllowedWorkers(t *testing.T) {
 	at := time.Unix(1000, 0)
 	c := advisedCore(6, at, workload.Step{Count: 20, Need: need(1), EstimateMS: 1000})
 	if orders := round(c, at); len(orders) != 0 {
-		t.Fatalf("%d starts before any advice", len(orders))
+		t.Fatalf("%d tasks were started before any advice", len(orders))
 	}
 	o, ok := c.Ask(at)
 	if !ok || o.Step != string(jobA)+".0.0" || len(o.Workers) != 5 || o.Takes != 150*time.Millisecond {
-		t.Fatalf("%+v, %t: want 5 workers, which have room for twice the step", o, ok)
+		t.Fatalf("call %+v, %t: want 5 workers, which have capacity for twice the step", o, ok)
 	}
 	if _, twice := c.Ask(at); twice {
-		t.Fatal("two calls at once")
+		t.Fatal("two concurrent calls")
 	}
 	allow(c, o, at)
 	orders := round(c, at)
 	if len(orders) != 20 {
-		t.Fatalf("%d starts", len(orders))
+		t.Fatalf("%d starts, want 20", len(orders))
 	}
 	for _, start := range orders {
 		if start.Ticket != "ticket of "+start.Worker || !strings.ContainsAny(start.Worker[2:], "024") {
-			t.Fatalf("%s is started with %q", start.Worker, start.Ticket)
+			t.Fatalf("start on %s with ticket %q", start.Worker, start.Ticket)
 		}
 	}
 }
 
-func TestMoreWorkersAreAskedAboutUntilTheStepHasRoom(t *testing.T) {
+func TestAdviceIsRequestedUntilTheStepHasCapacity(t *testing.T) {
 	at := time.Unix(1000, 0)
 	c := advisedCore(80, at, workload.Step{Count: 100, Need: need(8), EstimateMS: 1000})
 	round(c, at)
-	asked := map[string]bool{}
+	called := map[string]bool{}
 	for range 3 {
 		o, ok := c.Ask(at)
 		if !ok {
@@ -89,20 +91,20 @@
 			t.Fatalf("%d workers in one call", len(o.Workers))
 		}
 		for _, id := range o.Workers {
-			if asked[id] {
-				t.Fatalf("%s is asked about twice", id)
+			if called[id] {
+				t.Fatalf("%s is in two calls", id)
 			}
-			asked[id] = true
+			called[id] = true
 		}
 		allow(c, o, at)
 		round(c, at)
 	}
-	if len(asked) != 80 {
-		t.Fatalf("asked about %d of 80", len(asked))
+	if len(called) != 80 {
+		t.Fatalf("calls for %d of 80 workers", len(called))
 	}
 }
 
-func TestATicketThatRanOutOrIsNotTakenIsAskedForAnew(t *testing.T) {
+func TestExpiredOrRefusedTicketIsRequestedAgain(t *testing.T) {
 	at := time.Unix(1000, 0)
 	c := advisedCore(1, at, workload.Step{Count: 2, Need: need(8), EstimateMS: 1000})
 	round(c, at)
@@ -110,7 +112,7 @@
 	allow(c, o, at)
 	first := round(c, at)
 	if len(first) != 1 {
-		t.Fatalf("%d starts", len(first))
+		t.Fatalf("%d starts, want 1", len(first))
 	}
 	c.Started(first[0], control.Answer{Verdict: control.NoTicket, ClockMS: 1000}, at)
 	if orders := round(c, at); len(orders) != 0 {
@@ -118,29 +120,29 @@
 	}
 	o, ok := c.Ask(at)
 	if !ok {
-		t.Fatal("not asked again")
+		t.Fatal("no call for a new ticket after one was refused")
 	}
 	allow(c, o, at)
 	late := at.Add(1900 * time.Millisecond)
 	c.Round(late, late.UnixMilli())
 	if orders := round(c, late); len(orders) != 0 {
-		t.Fatal("started with a ticket that is about to run out")
+		t.Fatal("started with a ticket that is about to expire")
 	}
 	if _, ok := c.Ask(late); !ok {
-		t.Fatal("not asked for a new ticket")
+		t.Fatal("no call for a new ticket before one expires")
 	}
 }
 
-func TestACallForAdviceWithoutAnAnswerIsMadeAgain(t *testing.T) {
+func TestUnansweredAdviceCallIsRetriedAfterAPause(t *testing.T) {
 	at := time.Unix(1000, 0)
 	c := advisedCore(2, at, workload.Step{Count: 1, Need: need(1), EstimateMS: 1000})
 	round(c, at)
 	o, _ := c.Ask(at)
 	c.Advised(o, control.AdviceAnswer{}, at, at)
 	if _, ok := c.Ask(at); ok {
-		t.Fatal("asked again without a pause")
+		t.Fatal("called again without a pause")
 	}
 	if _, ok := c.Ask(at.Add(time.Second)); !ok {
-		t.Fatal("not asked again")
+		t.Fatal("not called again after a second")
 	}
 }
--- a/workload/control/availability_test.go
+++ b/workload/control/availability_test.go
@@ -10,15 +10,15 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// Guaranteed jobs want workers one by one; a step that lasts is on all of them,
-// and lets go of no more tasks at once than it may miss.
-func TestNoMoreTasksThatLastAreTakenAwayAtOnceThanTheirStepMayMiss(t *testing.T) {
+// Guards against evicting more tasks of a perpetual step at once than it may miss. The step runs on
+// all workers, and guaranteed jobs need them one by one.
+func TestEvictionsOfAPerpetualStepStayWithinMayMiss(t *testing.T) {
 	for _, mayMiss := range []int{1, 2} {
 		s := newScenario()
 		s.add(jobA, func(j *workload.Job) { j.Account = "lent" }, workload.Step{Count: 6, Need: need(8), Perpetual: true, MayMiss: mayMiss})
 		s.advance(2 * time.Second)
 		if n := len(s.starts(jobA)); n != 6 {
-			t.Fatalf("%d starts", n)
+			t.Fatalf("%d starts, want 6", n)
 		}
 		s.planners[0].core.Configure(control.Configuration{Version: 2, Guaranteed: map[domain.AccountID]int64{"urgent": 48}})
 		for _, id := range []workload.JobID{"bbbbbbbbbbbbbbb1", "bbbbbbbbbbbbbbb2", "bbbbbbbbbbbbbbb3"} {
@@ -28,12 +28,12 @@
 		s.advance(10 * time.Second)
 		s.check(t)
 		if n := s.ends(jobA, control.EndStopped); n != mayMiss {
-			t.Fatalf("%d tasks were taken away, %d may be missed", n, mayMiss)
+			t.Fatalf("%d tasks were evicted, %d may be missed", n, mayMiss)
 		}
 	}
 }
 
-func TestWhatFillsIsSlowedBeforeItHarmsAndUsesWhatIsLeft(t *testing.T) {
+func TestFillersAreThrottledBeforeTheyHarmAndUseSpareCapacity(t *testing.T) {
 	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, _ string) workertest.Work {
 		if id.Job == jobA {
@@ -44,32 +44,32 @@
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(8), Perpetual: true, TargetMS: 100})
 	s.advance(2 * time.Second)
 	s.add(jobB, nil, workload.Step{Count: 6, Need: workload.Resources{MilliCPU: 32000}, Fills: true, Spread: 1, EstimateMS: 3_600_000})
-	over := map[string]time.Duration{}
+	overTargetFor := map[string]time.Duration{}
 	for range 1500 {
 		s.advance(20 * time.Millisecond)
 		for id, w := range s.fleet.Workers {
 			for _, tail := range w.Tails() {
 				if tail <= 100 {
-					over[id] = 0
+					overTargetFor[id] = 0
 					continue
 				}
-				if over[id] += 20 * time.Millisecond; over[id] > simBounds.Harm {
-					t.Fatalf("%s is over its target for %v", id, over[id])
+				if overTargetFor[id] += 20 * time.Millisecond; overTargetFor[id] > simBounds.Harm {
+					t.Fatalf("a serving task on %s has exceeded its latency target for %v", id, overTargetFor[id])
 				}
 			}
 		}
 	}
 	s.check(t)
 	for id, w := range s.fleet.Workers {
-		for _, slowed := range w.Slowed() {
-			if slowed > 90 {
-				t.Errorf("what fills on %s is slowed by %d percent, though a third of its pace does no harm", id, slowed)
+		for _, throttled := range w.Slowed() {
+			if throttled > 90 {
+				t.Errorf("the filler on %s is throttled by %d percent, though a third of its pace does no harm", id, throttled)
 			}
 		}
 	}
 }
 
-func TestWhatFillsIsHaltedWhereItHarmsAtAnyPace(t *testing.T) {
+func TestFillersThatHarmAtAnyPaceAreHalted(t *testing.T) {
 	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, _ string) workertest.Work {
 		if id.Job == jobA {
@@ -81,18 +81,18 @@
 	s.advance(2 * time.Second)
 	s.add(jobB, nil, workload.Step{Count: 6, Need: workload.Resources{MilliCPU: 32000}, Fills: true, Spread: 1, EstimateMS: 3_600_000})
 	s.advance(6 * time.Second)
-	slowed := 0
+	throttled := 0
 	for _, w := range s.fleet.Workers {
 		for _, tail := range w.Tails() {
 			if tail > 100 {
-				t.Errorf("a tail of %d ms", tail)
+				t.Errorf("tail latency of %d ms, want at most 100", tail)
 			}
 		}
 		for _, n := range w.Slowed() {
-			slowed += n
+			throttled += n
 		}
 	}
-	if slowed < 500 {
-		t.Fatalf("slowed by %d percent over six workers", slowed)
+	if throttled < 500 {
+		t.Fatalf("throttled by %d percent in total over six workers, want at least 500", throttled)
 	}
 }
--- a/workload/control/due_time_test.go
+++ b/workload/control/due_time_test.go
@@ -7,31 +7,31 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// The time of day may jump on the planner's machine, or differ from that of the
-// instance that accepted a job: what waits has the time that it has.
-func TestJumpsOfTheTimeOfDayDoNotMoveWhatIsDue(t *testing.T) {
-	began := time.Unix(1000, 0)
+// Guards against due times that move when the wall clock of the planner's machine jumps, or that
+// are off by its difference to the clock of the instance that accepted the job.
+func TestWallClockJumpsDoNotMoveDueTimes(t *testing.T) {
+	start := time.Unix(1000, 0)
 	const wallMS = 50_000
-	at := func(d time.Duration) time.Time { return began.Add(d) }
+	at := func(d time.Duration) time.Time { return start.Add(d) }
 	newJob := func(acceptedMS int64) *job {
 		return &job{Job: &workload.Job{AcceptedMS: acceptedMS}}
 	}
-	c := New(Bounds{Authority: time.Second}, 1, began)
+	c := New(Bounds{Authority: time.Second}, 1, start)
 	j := newJob(wallMS - 20)
 	want := at(5 * time.Second).Add(-20 * time.Millisecond)
 	for _, jump := range []int64{0, 4000, -4000} {
 		if got := c.due(j, 0, at(5*time.Second), wallMS+jump); !got.Equal(want) {
-			t.Errorf("a jump by %d ms moves it by %v", jump, got.Sub(want))
+			t.Errorf("a clock jump of %d ms moves the due time by %v", jump, got.Sub(want))
 		}
 	}
-	for _, off := range []int64{-4000, 4000} {
-		got := at(5 * time.Second).Sub(c.due(newJob(wallMS+off), 0, at(5*time.Second), wallMS))
+	for _, skew := range []int64{-4000, 4000} {
+		got := at(5 * time.Second).Sub(c.due(newJob(wallMS+skew), 0, at(5*time.Second), wallMS))
 		if got < 0 || got > maxPickupDelay {
-			t.Errorf("clocks %d ms apart: due %v before it was seen", off, got)
+			t.Errorf("clock skew of %d ms: the job was due %v before the planner learned of it", skew, got)
 		}
 	}
-	// A planner that has just begun sees jobs that have waited for long.
-	if got := at(0).Sub(New(Bounds{Authority: time.Second}, 2, began).due(newJob(wallMS-4000), 0, began, wallMS)); got != 4*time.Second {
-		t.Errorf("an old job was due %v before", got)
+	// A planner that has just started learns of jobs that have waited for a long time.
+	if got := at(0).Sub(New(Bounds{Authority: time.Second}, 2, start).due(newJob(wallMS-4000), 0, start, wallMS)); got != 4*time.Second {
+		t.Errorf("a job accepted 4s before the planner started was due %v before", got)
 	}
 }
--- a/workload/control/first_clock_test.go
+++ b/workload/control/first_clock_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Guards against leases that are counted by the clock of a life before: the worker's entry shows
-// a clock that the life which answers first has not reached.
-func TestTheFirstAnswerTellsTheClockWhateverTheEntryShowed(t *testing.T) {
+// Guards against lease deadlines by the clock of an earlier incarnation: the worker's entry shows a
+// clock that the incarnation which answers first has not reached.
+func TestFirstAnswerSetsTheClockWhateverTheEntryShowed(t *testing.T) {
 	s := newUnknownEndsScenario()
 	const shown, answered = 3_600_000, 500
 	s.c.List([]Listing{{ID: "w0", Address: "0", Rack: "r", ClockMS: shown}}, s.now)
 	s.now = s.now.Add(100 * time.Millisecond)
 	order, ok := s.c.Hold("w0", s.now)
 	if !ok {
-		t.Fatal("the worker is not asked")
+		t.Fatal("no lease renewal for the worker")
 	}
 	s.c.Held(order, HoldAnswer{Verdict: Accepted, ClockMS: answered}, s.now, s.now)
 	w := s.c.workers["w0"]
@@ -26,6 +26,6 @@
 		s.c.Held(order, HoldAnswer{Verdict: Accepted, ClockMS: answered + 1000}, s.now, s.now)
 	}
 	if w.number != 1 {
-		t.Errorf("a life that goes on is taken for life %d", w.number)
+		t.Errorf("the same incarnation is counted as number %d", w.number)
 	}
 }
--- a/workload/control/late_end_test.go
+++ b/workload/control/late_end_test.go
@@ -8,8 +8,8 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// cutOffScene plays a job of two steps whose first step runs on a worker that falls
-// silent: its lease is taken to be over. It returns the core with the time.
+// cutOffScenario has a job of two steps. The first one runs on a worker that falls silent until its
+// lease must have expired.
 type cutOffScenario struct {
 	c   *Core
 	now time.Time
@@ -36,7 +36,7 @@
 	s.c.Held(HoldOrder{Worker: worker, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000, Running: running, Ended: ended}, s.now, s.now)
 }
 
-// round decides, and returns what is ordered to start.
+// round runs a round, has all start orders accepted and returns them.
 func (s *cutOffScenario) round() []StartOrder {
 	s.c.Round(s.now, s.now.UnixMilli())
 	s.c.Changes()
@@ -51,57 +51,57 @@
 	return workload.TaskID{Job: s.id, Step: 0, Index: index}
 }
 
-// silent lets the worker fall silent until its lease is over.
+// expireLease makes the worker unreachable until its lease must have expired.
 func (s *cutOffScenario) expireLease(t *testing.T) {
 	s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Unanswered}, s.now, s.now)
 	s.now = s.now.Add(8 * time.Second)
 	s.round()
 	if len(s.c.runs) != 0 {
-		t.Fatalf("%d runs are still taken for alive", len(s.c.runs))
+		t.Fatalf("%d runs are still taken to be running", len(s.c.runs))
 	}
 }
 
-// A run that was written off with its worker's lease and turns out to have been done is
-// not run again, and what follows it begins at once.
-func TestARunThatWasWrittenOffAndIsListedAsDoneIsDone(t *testing.T) {
+// Guards against repeating a done task because its run had been written off with its worker's
+// lease. The steps that depend on it must start at once.
+func TestWrittenOffRunListedAsDoneIsNotRunAgain(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		t.Run(fmt.Sprintf("gang=%t", gang), func(t *testing.T) {
 			s := newCutOffScenario(gang)
 			if n := len(s.round()); n != 2 {
-				t.Fatalf("%d tasks began", n)
+				t.Fatalf("%d tasks were started, want 2", n)
 			}
 			s.now = s.now.Add(time.Second)
 			s.expireLease(t)
 			s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndDone}, {Number: 2, Task: s.firstStepTask(1), Run: 1, How: EndDone}})
 			starts := s.round()
 			if len(starts) != 3 {
-				t.Fatalf("%d of the next step's 3 tasks begin", len(starts))
+				t.Fatalf("%d of the next step's 3 tasks were started", len(starts))
 			}
 			for _, o := range starts {
 				if o.Task.Step != 1 {
-					t.Fatalf("%v begins, which was done", o.Task)
+					t.Fatalf("%v was started again although it is done", o.Task)
 				}
 			}
 		})
 	}
 }
 
-// What was begun in its place is stopped, and its end changes nothing.
-func TestWhatWasBegunInPlaceOfADoneRunIsStopped(t *testing.T) {
+// Guards against a replacement of a done run that runs on, or whose end changes the task's record.
+func TestReplacementOfADoneRunIsStopped(t *testing.T) {
 	s := newCutOffScenario(false)
 	s.round()
 	s.now = s.now.Add(time.Second)
 	s.expireLease(t)
 	s.renew("w1", nil, nil)
 	if n := len(s.round()); n != 2 {
-		t.Fatalf("%d tasks begin again", n)
+		t.Fatalf("%d tasks were started again, want 2", n)
 	}
 	s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndDone}, {Number: 2, Task: s.firstStepTask(1), Run: 1, How: EndDone}})
 	if stops := s.c.Stops(); len(stops) != 2 {
-		t.Fatalf("%d stops", len(stops))
+		t.Fatalf("%d stop orders, want 2", len(stops))
 	}
 	if n := len(s.round()); n != 3 {
-		t.Fatalf("%d of the next step's tasks begin", n)
+		t.Fatalf("%d of the next step's 3 tasks were started", n)
 	}
 	s.renew("w1", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 2, How: EndStopped}, {Number: 2, Task: s.firstStepTask(1), Run: 2, How: EndFailed}})
 	for i := range 2 {
@@ -111,7 +111,8 @@
 	}
 }
 
-// Nothing but an end as done of a run that was ordered counts.
+// Guards against late ends that change a task's record although they are not the done ends of runs
+// that were ordered.
 func TestOtherLateEndsChangeNothing(t *testing.T) {
 	for name, row := range map[string]EndedRow{
 		"failed":        {Number: 1, Run: 1, How: EndFailed},
--- a/workload/control/late_starts_test.go
+++ b/workload/control/late_starts_test.go
@@ -10,8 +10,7 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// carryOutLate lets a worker carry out the first order for a task that never
-// had an answer.
+// deliverLateStart delivers the first, unanswered start order for a task to its worker.
 func (s *scenario) deliverLateStart(t *testing.T, token int64) {
 	t.Helper()
 	task := workload.TaskID{Job: jobA}
@@ -30,8 +29,8 @@
 	}
 }
 
-// newCutScene has a job that was ordered a second ago while all workers are cut
-// off for four: the order got lost.
+// newUnreachableScenario returns a scenario in which all workers are unreachable for four seconds
+// and the start order of a job was lost in the first of these.
 func newUnreachableScenario() *scenario {
 	s := newScenario()
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Minute} }
@@ -44,10 +43,10 @@
 	return s
 }
 
-// A worker carries a start out long after its caller has cancelled the job, out
-// of touch with the planner: the run is found and stopped as soon as the worker
-// can be reached.
-func TestARunThatAWorkerStartedLateIsStoppedOnceItsJobIsCancelled(t *testing.T) {
+// Guards against a run of a cancelled job that is never stopped because its worker, while
+// unreachable, carried out the start order long after the cancellation. The run must be found and
+// stopped as soon as the worker is reachable.
+func TestLateStartedRunOfACancelledJobIsStopped(t *testing.T) {
 	s := newUnreachableScenario()
 	token := s.planners[0].lastStartToken
 	s.deliverLateStart(t, token)
@@ -55,13 +54,13 @@
 	s.advance(3*time.Second + simLimits.StopTimeout + time.Second)
 	s.check(t)
 	if s.ends(jobA, control.EndStopped) != 1 {
-		t.Fatalf("the run goes on: %+v", s.events)
+		t.Fatalf("the run was not stopped: %+v", s.events)
 	}
 }
 
-// The same where the planner that sent the order was removed for good before:
-// its successor finds the run on a worker that it has no order for.
-func TestARunWhoseStarterIsGoneIsStoppedOnceItsJobIsCancelled(t *testing.T) {
+// Guards against the same if the planner that sent the order is gone: its successor finds the run
+// on a worker to which it has sent no order.
+func TestLateStartedRunIsStoppedAfterItsPlannerIsGone(t *testing.T) {
 	s := newUnreachableScenario()
 	old := s.planners[0]
 	old.dead = true
@@ -72,6 +71,6 @@
 	s.advance(2*time.Second + simLimits.StopTimeout + time.Second)
 	s.check(t)
 	if s.ends(jobA, control.EndStopped) != 1 {
-		t.Fatalf("the run goes on: %+v", s.events)
+		t.Fatalf("the run was not stopped: %+v", s.events)
 	}
 }
--- a/workload/control/mutants_test.go
+++ b/workload/control/mutants_test.go
@@ -8,44 +8,44 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// mutant breaks one of the rules that keep the planner safe. The zero value
-// breaks none.
+// mutant breaks some of the rules that keep the planner safe, to prove that the simulation detects
+// it. The zero value breaks none.
 type mutant struct {
-	// sameToken: a successor gives orders under its predecessor's token.
+	// sameToken: a successor sends orders under its predecessor's token.
 	sameToken bool
-	// lateLog: orders go out a second before the log has them.
+	// lateLog: orders are sent a second before they are in the log.
 	lateLog bool
-	// noLog: orders go out and no record of them is ever written.
+	// noLog: orders are sent and never written to the log.
 	noLog bool
-	// openLog: a planner that has been succeeded goes on.
+	// unfencedLog: the log accepts writes of a planner that has been succeeded.
 	unfencedLog bool
 	// earlyAck: workers may forget ends that are not in the log.
 	earlyAck bool
-	// longer: workers are held longer than the planner believes.
+	// extraLease: workers get longer leases than the planner assumes.
 	extraLease time.Duration
-	// deaf: an order without an answer is taken for one that was dealt with.
+	// trustSilence: an unanswered order counts as refused or carried out.
 	trustSilence bool
-	// forgetful: crashes are counted in the planner's memory alone.
+	// losesCrashCounts: crashes are counted only in the planner's memory.
 	losesCrashCounts bool
-	// nameless: lives are known by their ids alone, neither by birth nor by clock.
+	// anonymousIncarnations: incarnations are told apart neither by start time nor by clock.
 	anonymousIncarnations bool
-	// unraised: silences don't raise tokens.
+	// constantTokens: tokens are not raised when a worker falls silent.
 	constantTokens bool
-	// unboundStarts: a start reaches whoever is there when it arrives; unboundCursors: so does a
-	// hold that lets ends be forgotten.
+	// unboundStarts: a start order reaches whichever incarnation is running when it arrives.
+	// unboundCursors: so does a lease renewal that lets ends be forgotten.
 	unboundStarts, unboundCursors bool
-	// cursors: each hold to a worker carries the highest cursor that ever went there.
+	// reusedCursors: each lease renewal carries the highest cursor that was ever sent to the
+	// worker, whichever incarnation it was meant for.
 	reusedCursors bool
-	// heartbeats: heartbeats are taken to be as many times as far apart.
+	// heartbeatFactor: planners assume an interval of heartbeats that is this many times as long.
 	heartbeatFactor time.Duration
-	// datedByReading: entries show the time at which they were read, not that at which they
-	// were written.
+	// datedByRead: entries show the time at which they were read instead of written.
 	datedByRead bool
-	// untoldGaps: planners don't know that the list was not read for a while.
+	// hiddenGaps: planners are not notified that the list could not be read for a while.
 	hiddenGaps bool
 }
 
-// token is the one that an order carries.
+// token returns the token that an order carries.
 func (m mutant) token(token int64) int64 {
 	if m.constantTokens {
 		return control.Claim(token) << 20
@@ -53,7 +53,7 @@
 	return token
 }
 
-// life is what a hold's answer tells of the life that gives it.
+// alterAnswer returns the answer to a lease renewal as the planner receives it.
 func (m mutant) alterAnswer(a control.HoldAnswer, now time.Time) control.HoldAnswer {
 	if m.anonymousIncarnations {
 		a.Born = 0
@@ -62,6 +62,7 @@
 	return a
 }
 
+// alterVerdict returns the result of an order as the planner receives it.
 func (m mutant) alterVerdict(verdict, otherwise control.Verdict) control.Verdict {
 	if m.trustSilence && verdict == control.Unanswered {
 		return otherwise
@@ -69,34 +70,36 @@
 	return verdict
 }
 
+// mutantSeeds is the number of simulations in which a mutant must be detected.
 const mutantSeeds = 120
 
-func TestEveryMutantIsCaught(t *testing.T) {
+func TestSimulationDetectsSafetyMutants(t *testing.T) {
 	for name, m := range map[string]mutant{
-		"successor uses the old token":  {sameToken: true, unfencedLog: true},
-		"orders before the log":         {lateLog: true},
-		"ends forgotten before the log": {earlyAck: true},
-		"leases longer than believed":   {extraLease: 4 * time.Second},
-		"silence taken for an answer":   {trustSilence: true},
+		"successor uses the old token":       {sameToken: true, unfencedLog: true},
+		"orders sent before they are logged": {lateLog: true},
+		"ends forgotten before logged":       {earlyAck: true},
+		"leases longer than assumed":         {extraLease: 4 * time.Second},
+		"silence taken for an answer":        {trustSilence: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range mutantSeeds {
-				w := newSimulation(int64(seed), true)
-				w.mutant = m
-				w.run(nil)
-				if len(w.violations) > 0 {
-					t.Logf("caught at seed %d: %s", seed, w.violations[0])
+				sim := newSimulation(int64(seed), true)
+				sim.mutant = m
+				sim.run(nil)
+				if len(sim.violations) > 0 {
+					t.Logf("detected at seed %d: %s", seed, sim.violations[0])
 					return
 				}
 			}
-			t.Fatalf("not caught in %d worlds", mutantSeeds)
+			t.Fatalf("not detected in %d simulations", mutantSeeds)
 		})
 	}
 }
 
-// crashFields are what a record of progress has of crashes.
+// crashFields matches the crash counts in a progress record.
 var crashFields = regexp.MustCompile(`,?"[cmuon]":[0-9]+`)
 
+// alterRecord returns the record as it is written to the log.
 func (m mutant) alterRecord(value []byte) []byte {
 	if m.losesCrashCounts {
 		return crashFields.ReplaceAll(value, nil)
@@ -104,44 +107,44 @@
 	return value
 }
 
-func TestACountOfCrashesInMemoryAloneIsCaught(t *testing.T) {
+func TestSimulationDetectsCrashCountsLostWithThePlanner(t *testing.T) {
 	for seed := range mutantSeeds {
-		w := newCrashSimulation(int64(seed))
-		w.mutant.losesCrashCounts = true
-		w.run(nil)
-		if len(w.violations) > 0 {
-			t.Logf("caught at seed %d: %s", seed, w.violations[0])
+		sim := newCrashSimulation(int64(seed))
+		sim.mutant.losesCrashCounts = true
+		sim.run(nil)
+		if len(sim.violations) > 0 {
+			t.Logf("detected at seed %d: %s", seed, sim.violations[0])
 			return
 		}
 	}
-	t.Fatalf("not caught in %d worlds", mutantSeeds)
+	t.Fatalf("not detected in %d simulations", mutantSeeds)
 }
 
-func TestMutantsOfLivesAreCaught(t *testing.T) {
+func TestSimulationDetectsIncarnationMutants(t *testing.T) {
 	for name, m := range map[string]mutant{
-		"lives known by their ids":          {anonymousIncarnations: true},
-		"silences raise no token":           {constantTokens: true, unboundStarts: true, unboundCursors: true},
-		"cursors of a life before":          {reusedCursors: true},
-		"silence taken for answers":         {trustSilence: true},
-		"starts and cursors reach any life": {unboundStarts: true, unboundCursors: true},
-		"starts reach any life":             {unboundStarts: true},
-		"cursors reach any life":            {unboundCursors: true},
+		"incarnations not told apart":              {anonymousIncarnations: true},
+		"silence raises no token":                  {constantTokens: true, unboundStarts: true, unboundCursors: true},
+		"cursors of an earlier incarnation":        {reusedCursors: true},
+		"silence taken for an answer":              {trustSilence: true},
+		"starts and cursors reach any incarnation": {unboundStarts: true, unboundCursors: true},
+		"starts reach any incarnation":             {unboundStarts: true},
+		"cursors reach any incarnation":            {unboundCursors: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range mutantSeeds {
-				sound, w := newRestartSimulation(int64(seed), true), newRestartSimulation(int64(seed), true)
-				w.mutant = m
-				w.run(nil)
-				if len(w.violations) == 0 {
+				unmutated, sim := newRestartSimulation(int64(seed), true), newRestartSimulation(int64(seed), true)
+				sim.mutant = m
+				sim.run(nil)
+				if len(sim.violations) == 0 {
 					continue
 				}
-				// Some of these worlds break without the mutant.
-				if sound.run(nil); len(sound.violations) == 0 {
-					t.Logf("caught at seed %d: %s", seed, w.violations[0])
+				// Some of these seeds have violations without the mutant.
+				if unmutated.run(nil); len(unmutated.violations) == 0 {
+					t.Logf("detected at seed %d: %s", seed, sim.violations[0])
 					return
 				}
 			}
-			t.Fatalf("not caught in %d worlds", mutantSeeds)
+			t.Fatalf("not detected in %d simulations", mutantSeeds)
 		})
 	}
 }
--- a/workload/control/reduced_test.go
+++ b/workload/control/reduced_acceptance_test.go
@@ -6,8 +6,9 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// A job of which only the reduced acceptance has been read is neither begun nor ended: its progress is not there yet.
-func TestAJobWithoutItsStepsIsLeftAlone(t *testing.T) {
+// Guards against starting or ending a job of which only the reduced acceptance record has been
+// read: its progress is not known yet.
+func TestReducedJobIsNeitherStartedNorEnded(t *testing.T) {
 	s := newCutOffScenario(false)
 	s.round()
 	book := workload.NewBook()
@@ -20,7 +21,7 @@
 		s.c.Round(s.now, s.now.UnixMilli())
 		for _, r := range s.c.Changes() {
 			if r.Key == workload.ProgressKey(id) {
-				t.Fatalf("written: %s", r.Value)
+				t.Fatalf("progress written: %s", r.Value)
 			}
 		}
 		if starts := s.c.Persisted(s.now); len(starts) > 0 {
--- a/workload/control/registry_test.go
+++ b/workload/control/registry_test.go
@@ -10,43 +10,45 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// worldHeartbeat is about how often a worker writes its entry.
+// heartbeatInterval is about how often a worker writes its entry.
 const heartbeatInterval = 1500 * time.Millisecond
 
-// registry is the platform's list as workers and planners meet it. Workers write their entries by
-// heartbeats; an entry is removed once its worker has left, or after three heartbeats of silence;
-// planners read it late.
+// registry simulates the platform's worker list. Workers write their entries by heartbeats. An
+// entry is removed once its worker has left, or after three missed heartbeats. Planners read the
+// list late.
 type registry struct {
 	entries map[string]registryEntry
-	// beats is when each worker writes next, cut until when it does not reach the store.
+	// nextHeartbeat is when each worker writes next, unreachableUntil until when it can't reach
+	// the store.
 	nextHeartbeat, unreachableUntil map[string]time.Time
-	// down is until when the store is down for all.
+	// downUntil is until when the store is down for all.
 	downUntil time.Time
-	// history is what the store has had since it was read last, oldest first.
+	// history are the states of the store since the one that was read last, oldest first.
 	history []snapshot
-	// lag is by how much it is read late.
+	// readLag is by how much it is read late.
 	readLag time.Duration
-	// unread tells that it can't be read, gaps counts the times at which it could be again.
+	// unreadable is set while it can't be read, gaps counts how often it became readable again.
 	unreadable bool
 	gaps       int
-	// drops has the store lose all entries when it goes down.
+	// losesEntries is set if the store loses all entries when it goes down.
 	losesEntries bool
-	// readAt is when each entry was first read as it is.
+	// firstReadings are the first readings of each worker's newest entry.
 	firstReadings map[string]clockReading
 }
 
-// registered is an entry, written at a time.
+// registryEntry is a worker's entry and when it was written.
 type registryEntry struct {
 	control.Listing
 	writtenAt time.Time
 }
 
+// snapshot is the state of the store from a time on.
 type snapshot struct {
 	at   time.Time
 	list []control.Listing
 }
 
-// firstReading is what the worker's clock showed when an entry that shows written was read.
+// clockReading is the worker's clock as an entry shows it, and when the entry was first read.
 type clockReading struct{ writtenMS, readAtMS int64 }
 
 func newRegistry() *registry {
@@ -56,7 +58,7 @@
 	}
 }
 
-// keepRegistry lets entries be written, expire, and be read.
+// updateRegistry expires, writes and reads entries.
 func (sim *simulation) updateRegistry() {
 	r := sim.registry
 	if r == nil {
@@ -72,15 +74,14 @@
 	r.read(sim.now)
 }
 
-// expire removes entries whose workers were silent for three heartbeats; so it does while the
-// store is down.
+// expire removes entries whose workers have missed three heartbeats, also while the store is down.
 func (r *registry) expire(now time.Time) bool {
 	before := len(r.entries)
 	maps.DeleteFunc(r.entries, func(_ string, e registryEntry) bool { return now.Sub(e.writtenAt) >= entryLifetime })
 	return len(r.entries) < before
 }
 
-// beat writes the entries that are due.
+// writeEntries writes the entries that are due.
 func (sim *simulation) writeEntries() bool {
 	changed := false
 	for _, id := range sortedIDs(sim.fleet.Workers) {
@@ -94,7 +95,7 @@
 	return changed
 }
 
-// racks are those of workers with an even and an odd number.
+// racks are the racks of workers with an even and an odd number.
 var racks = []string{"r0", "r1"}
 
 func (sim *simulation) listing(id string) control.Listing {
@@ -106,15 +107,16 @@
 	}
 }
 
+// record adds the current entries to the history.
 func (r *registry) record(now time.Time) {
-	v := snapshot{at: now}
+	state := snapshot{at: now}
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
-		v.list = append(v.list, r.entries[id].Listing)
+		state.list = append(state.list, r.entries[id].Listing)
 	}
-	r.history = append(r.history, v)
+	r.history = append(r.history, state)
 }
 
-// read moves on to what planners can have read by now.
+// read advances the history to the state that planners have read by now.
 func (r *registry) read(now time.Time) {
 	if now.Before(r.downUntil) {
 		return
@@ -128,7 +130,7 @@
 	}
 }
 
-// takeList has a planner take over what it can have read of the list.
+// updateList passes the list to a planner as it reads it now.
 func (sim *simulation) updateList(p *planner) {
 	if sim.registry == nil {
 		p.core.List(sim.listings(), sim.now)
@@ -141,26 +143,26 @@
 	p.core.List(sim.registry.currentList(sim), sim.now)
 }
 
-// shown is the list as it was read last.
-func (r *registry) currentList(w *simulation) []control.Listing {
+// currentList returns the list as it was last read.
+func (r *registry) currentList(sim *simulation) []control.Listing {
 	list := r.history[0].list
-	if !w.mutant.datedByRead {
+	if !sim.mutant.datedByRead {
 		return list
 	}
 	out := slices.Clone(list)
 	for i, l := range out {
 		if r.firstReadings[l.ID].writtenMS != l.ClockMS {
-			r.firstReadings[l.ID] = clockReading{l.ClockMS, w.fleet.Workers[l.ID].ClockMS(w.now)}
+			r.firstReadings[l.ID] = clockReading{l.ClockMS, sim.fleet.Workers[l.ID].ClockMS(sim.now)}
 		}
 		out[i].ClockMS = r.firstReadings[l.ID].readAtMS
 	}
 	return out
 }
 
-// goDown takes the store down for a while.
-func (sim *simulation) takeStoreDown(lasts time.Duration) {
+// takeStoreDown takes the store down for a while.
+func (sim *simulation) takeStoreDown(duration time.Duration) {
 	r := sim.registry
-	r.downUntil = sim.now.Add(lasts)
+	r.downUntil = sim.now.Add(duration)
 	r.unreadable = true
 	if r.losesEntries {
 		clear(r.entries)
@@ -168,24 +170,25 @@
 	}
 }
 
-// seeGone holds what a planner says of a worker that has left against whether it lives.
+// checkDeparture checks that a worker which a planner reports as having left is not running.
 func (sim *simulation) checkDeparture(n control.Note) {
 	if n.Event != control.EventWorkerGone || n.Why != "worker-left" {
 		return
 	}
 	sim.departures++
 	if !sim.fleet.Workers[n.Worker].Dead {
-		sim.violation("%s is taken for one that has left, and runs on", n.Worker)
+		sim.violation("%s is reported as having left, but is still running", n.Worker)
 	}
 }
 
-// cutOff keeps a worker from the store and from planners, each for a while.
+// cutOff makes the store and the planners unreachable for a worker, each for a while.
 func (sim *simulation) cutOff(id string, fromStore, fromPlanners time.Duration) {
 	sim.registry.unreachableUntil[id] = sim.now.Add(fromStore)
 	sim.unreachableUntil[id] = sim.now.Add(fromPlanners)
 }
 
-// leave ends a worker's life as planned: its entry goes at once, where it reaches the store.
+// departAsPlanned shuts a worker down as planned: its entry is removed at once if the store is
+// reachable.
 func (sim *simulation) departAsPlanned(id string) {
 	if sim.fleet.Workers[id].Dead {
 		return
@@ -197,7 +200,7 @@
 	}
 }
 
-// crash ends a worker's life, and its entry expires; a new worker comes for it.
+// crash ends a worker without removing its entry, which expires. A new worker replaces it.
 func (sim *simulation) crash(id string) {
 	if sim.fleet.Workers[id].Dead {
 		return
@@ -210,7 +213,7 @@
 	sim.fleet.Add(fmt.Sprintf("w%02d", len(sim.fleet.Workers)), workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}, 1-0.02*sim.rng.Float64(), sim.now)
 }
 
-// calmRegistry ends all troubles of the list; workers that drain stay.
+// clearRegistryFaults ends all faults of the list, and all draining: those workers stay.
 func (sim *simulation) clearRegistryFaults() {
 	if sim.registry == nil {
 		return
--- a/workload/control/retry_test.go
+++ b/workload/control/retry_test.go
@@ -9,9 +9,9 @@
 	"github.com/cobalttide/cobalttide/workload/decide"
 )
 
-// retried plays one guaranteed gang until its first run has failed after a time, and
-// returns what the next plan is made of.
-func planAfterFailure(t *testing.T, ran time.Duration) (now time.Time, u decide.Unit) {
+// planAfterFailure runs a guaranteed gang whose first run fails after the given time. It returns
+// the time of the next plan, and the gang's unit that the plan is made from.
+func planAfterFailure(t *testing.T, runTime time.Duration) (now time.Time, u decide.Unit) {
 	var last *decide.Snapshot
 	now = time.Unix(1000, 0)
 	wall := func() int64 { return now.UnixMilli() }
@@ -26,15 +26,15 @@
 	id := workload.JobID("00000000000000aa")
 	job := &workload.Job{ID: id, Account: "a", Queue: "q", AcceptedMS: wall(), Steps: []workload.Step{{Count: 1, Gang: true, SameRack: true, EstimateMS: 2000, Need: workload.Resources{Accelerators: 1}}}}
 	c.Adopt(id, workload.Entry{Job: job, State: workload.Queued})
-	hold := func(ended []EndedRow, running []RunningRow) {
+	renew := func(ended []EndedRow, running []RunningRow) {
 		for _, w := range []string{"w1", "w2"} {
 			c.Held(HoldOrder{Worker: w, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: 1}, now, now)
 		}
-		if l := c.runs[workload.TaskID{Job: id}]; l != nil {
-			c.Held(HoldOrder{Worker: l.worker.ID, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: 1, Ended: ended, Running: running}, now, now)
+		if r := c.runs[workload.TaskID{Job: id}]; r != nil {
+			c.Held(HoldOrder{Worker: r.worker.ID, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: 1, Ended: ended, Running: running}, now, now)
 		}
 	}
-	hold(nil, nil)
+	renew(nil, nil)
 	c.Round(now, wall())
 	c.Changes()
 	starts := c.Persisted(now)
@@ -42,9 +42,9 @@
 		t.Fatalf("%d starts", len(starts))
 	}
 	c.Started(starts[0], Answer{Verdict: Accepted, ClockMS: 1}, now)
-	now = now.Add(ran)
-	l := c.runs[workload.TaskID{Job: id}]
-	c.Held(HoldOrder{Worker: l.worker.ID, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: 1, Ended: []EndedRow{{Number: 1, Task: workload.TaskID{Job: id}, Run: 1, How: EndFailed}}}, now, now)
+	now = now.Add(runTime)
+	r := c.runs[workload.TaskID{Job: id}]
+	c.Held(HoldOrder{Worker: r.worker.ID, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: 1, Ended: []EndedRow{{Number: 1, Task: workload.TaskID{Job: id}, Run: 1, How: EndFailed}}}, now, now)
 	c.Round(now, wall())
 	if len(last.Waiting) != 1 {
 		t.Fatalf("%d units wait", len(last.Waiting))
@@ -52,23 +52,23 @@
 	return now, last.Waiting[0]
 }
 
-// A job is owed the runs that fail in it: after a failure it still is in time if it
-// starts at once, and is not taken for hopeless.
-func TestTheTimeOfARunThatFailedIsOwedToItsJob(t *testing.T) {
-	const ran = 2 * time.Second
-	now, u := planAfterFailure(t, ran)
-	// 1.5 times both runs and 0.25 s, less the run to come.
-	want := now.Add(-ran).Add(3*(ran+2*time.Second)/2 + 250*time.Millisecond - 2*time.Second)
+// Guards against treating a job as too late for its objective after a failure. Its objective is
+// extended by the time of its failed runs, so it can still be met if the job restarts at once.
+func TestFailedRunExtendsTheJobsLatestStart(t *testing.T) {
+	const runTime = 2 * time.Second
+	now, u := planAfterFailure(t, runTime)
+	// The objective is 1.5 times both runs and 0.25 s. The second run has to fit in.
+	want := now.Add(-runTime).Add(3*(runTime+2*time.Second)/2 + 250*time.Millisecond - 2*time.Second)
 	if off := u.LatestStart.Sub(want); off < -50*time.Millisecond || off > 50*time.Millisecond {
-		t.Fatalf("has to start %v after now, want %v", u.LatestStart.Sub(now), want.Sub(now))
+		t.Fatalf("latest start is in %v, want %v", u.LatestStart.Sub(now), want.Sub(now))
 	}
 }
 
-// A guaranteed gang that had begun and comes back waits for a good place as it did
-// at first.
-func TestAGangThatComesBackBeginsToWaitAnew(t *testing.T) {
+// Guards against a retried guaranteed gang that counts its first run as waiting time. It may wait
+// for a good placement as long as it could at first.
+func TestRetriedGangRestartsItsWaitingTime(t *testing.T) {
 	now, u := planAfterFailure(t, 10*time.Second)
 	if !u.Since.Equal(now) {
-		t.Fatalf("has waited for %v", now.Sub(u.Since))
+		t.Fatalf("the gang counts %v as waiting time, want 0", now.Sub(u.Since))
 	}
 }
--- a/workload/control/round_bench_test.go
+++ b/workload/control/round_bench_test.go
@@ -11,19 +11,19 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// A full pool with work that waits: what one round costs by workers. The load is
-// that of a large pool: gangs of 26 tasks of 13 cores and 1 to 8 accelerators, first-priority
-// gangs of 8 tasks, and steps of 78 single tasks.
+// Benchmarks of one round by the number of workers, mostly over a full pool with waiting work. The
+// load is that of a large pool: gangs of 26 tasks of 13 cores and 1 to 8 accelerators,
+// first-priority gangs of 8 tasks, and steps of 78 single tasks.
 
-// crowd is a planner's core over a full pool.
+// loadedPool is a planner's core over a pool with work.
 type loadedPool struct {
 	core *control.Core
 	now  time.Time
 	rng  *rand.Rand
 	jobs int
-	// ends numbers each worker's ends.
+	// ends is the number of each worker's last end.
 	ends map[string]int64
-	// runs are the rows of what runs, by worker.
+	// runs are the runs on each worker, as it reports them.
 	runs map[string][]control.RunningRow
 }
 
@@ -55,7 +55,7 @@
 	return c
 }
 
-// holds lets every worker answer with what runs there.
+// renewAll answers all due lease renewals with the runs on the workers.
 func (c *loadedPool) renewAll() {
 	for _, id := range c.core.NeedsHold(c.now) {
 		if o, ok := c.core.Hold(id, c.now); ok {
@@ -64,7 +64,7 @@
 	}
 }
 
-// submit hands in a job of a class.
+// submit submits a job of a class, 0 to 2, which is also its priority.
 func (c *loadedPool) submit(class int) {
 	c.jobs++
 	id := workload.JobID(fmt.Sprintf("%016x", c.jobs))
@@ -80,7 +80,7 @@
 	c.core.Adopt(id, workload.Entry{Job: job, State: workload.Queued})
 }
 
-// round decides, writes, and lets workers accept what they are told.
+// round runs a round and has the workers accept all start orders.
 func (c *loadedPool) round() {
 	c.core.Round(c.now, c.now.UnixMilli())
 	c.core.Changes()
@@ -92,8 +92,7 @@
 	c.now = c.now.Add(10 * time.Millisecond)
 }
 
-// fill submits work of the later priorities until some units wait, then some of
-// all priorities.
+// fill submits jobs of the lower priorities that fill the pool, then some jobs of all priorities.
 func (c *loadedPool) fill(workers, waiting int) {
 	for i := range workers / 4 {
 		c.submit(1 + i%2)
@@ -124,10 +123,11 @@
 	}
 }
 
-// fleetRuns is how many runs a calm pool has for each worker: three of four are idle.
+// idlePoolRuns is the number of runs per worker in a mostly idle pool, in which three of four
+// workers are idle.
 const idlePoolRuns = 0.37
 
-// newCalmPool has a pool of which most is idle, and nothing that waits.
+// newIdlePool returns a mostly idle pool without waiting work.
 func newIdlePool(workers int) *loadedPool {
 	c := newLoadedPool(workers)
 	for tasks := 0.0; tasks < idlePoolRuns*float64(workers); tasks += 26 {
@@ -140,7 +140,7 @@
 	return c
 }
 
-// BenchmarkCalmRound is a round of a pool of which most is idle, with nothing that waits.
+// BenchmarkCalmRound measures a round over a mostly idle pool without waiting work.
 func BenchmarkCalmRound(b *testing.B) {
 	for _, workers := range []int{350, 1100, 6000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -152,8 +152,8 @@
 	}
 }
 
-// BenchmarkLook is a look at who is to be held, where nobody is.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkNeedsHold measures the search for due lease renewals when none is due.
+func BenchmarkNeedsHold(b *testing.B) {
 	for _, workers := range []int{350, 1100, 6000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			c := newIdlePool(workers)
@@ -164,8 +164,8 @@
 	}
 }
 
-// BenchmarkOneWaits is a round of a pool of which most is idle, with one step that comes.
-func BenchmarkOneWaits(b *testing.B) {
+// BenchmarkRoundWithOneNewJob measures a round over a mostly idle pool with one new job.
+func BenchmarkRoundWithOneNewJob(b *testing.B) {
 	for _, workers := range []int{350, 1100, 6000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			c := newIdlePool(workers)
--- a/workload/control/protocol_test.go
+++ b/workload/control/scenario_test.go
@@ -12,15 +12,16 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// Each line of what a job may ask for has a test here, on a calm world in which
-// one job or a few are submitted and the workers' events are looked at.
+// Tests of each term that a job may ask for, with one job or a few in a simulation without faults.
+// They check the events on the workers.
 
+// scenario is a simulation with the events on its workers.
 type scenario struct {
 	*simulation
 	events []workertest.Event
 }
 
-// newScene has six workers of 8 accelerators in two racks, and no faults.
+// newScenario returns a scenario with six workers of 8 accelerators in two racks, and no faults.
 func newScenario() *scenario {
 	s := &scenario{simulation: newSimulation(1, false)}
 	seen := s.fleet.Seen
@@ -87,7 +88,7 @@
 	return workload.Resources{MilliCPU: 1000, MemoryMiB: 1000, Accelerators: accelerators}
 }
 
-func TestStepsRunInTheirOrder(t *testing.T) {
+func TestStepsRunInDependencyOrder(t *testing.T) {
 	s := newScenario()
 	s.add(jobA, nil, workload.Step{Count: 3, Need: need(1)}, workload.Step{Count: 2, Need: need(1), DependsOn: []int{0}})
 	s.advance(3 * time.Second)
@@ -97,7 +98,7 @@
 	}
 }
 
-func TestATaskThatFailsIsRetriedElsewhereAsOftenAsItsQueueSays(t *testing.T) {
+func TestFailedTaskIsRetriedOnOtherWorkersUpToItsAttempts(t *testing.T) {
 	s := newScenario()
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work {
 		return workertest.Work{Takes: 100 * time.Millisecond, Fails: true}
@@ -114,7 +115,7 @@
 	}
 }
 
-func TestAGangFailsOnceARun(t *testing.T) {
+func TestGangFailureCountsOncePerRun(t *testing.T) {
 	s := newScenario()
 	s.fleet.Work = func(_ workload.TaskID, run int64, _ string) workertest.Work {
 		return workertest.Work{Takes: 100 * time.Millisecond, Fails: run < maxAttempts}
@@ -127,30 +128,30 @@
 	}
 }
 
-func TestSpreadBoundsTheTasksOnAWorker(t *testing.T) {
+func TestSpreadLimitsTasksPerWorker(t *testing.T) {
 	s := newScenario()
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(1), Spread: 1})
 	s.advance(2 * time.Second)
 	s.check(t)
-	per := map[string]int{}
+	startsByWorker := map[string]int{}
 	for _, e := range s.starts(jobA) {
-		per[e.Worker]++
+		startsByWorker[e.Worker]++
 	}
-	if len(per) != 6 {
-		t.Fatalf("%v", per)
+	if len(startsByWorker) != 6 {
+		t.Fatalf("starts by worker: %v, want one on each of 6", startsByWorker)
 	}
 }
 
-func TestWorkersOfAnotherServiceGetNothing(t *testing.T) {
+func TestNoStartsOnWorkersOfAnotherService(t *testing.T) {
 	s := newScenario()
 	s.add(jobA, func(j *workload.Job) { j.Terms.Service = "another" }, workload.Step{Count: 1, Need: need(1)})
 	s.advance(2 * time.Second)
 	if n := len(s.starts(jobA)); n != 0 {
-		t.Fatalf("%d starts", n)
+		t.Fatalf("%d starts, want 0", n)
 	}
 }
 
-func TestOccurrencesBeginWhenTheyAreDueAndNotBefore(t *testing.T) {
+func TestOccurrencesStartWhenDueAndNotBefore(t *testing.T) {
 	s := newScenario()
 	first := s.now.Add(700 * time.Millisecond)
 	s.add(jobA, func(j *workload.Job) {
@@ -164,14 +165,14 @@
 	for _, e := range s.starts(jobA) {
 		due := first.Add(time.Duration(e.Task.K) * 300 * time.Millisecond)
 		if e.At.Before(due) || e.At.After(due.Add(time.Second)) {
-			t.Fatalf("occurrence %d begins %v after its time", e.Task.K, e.At.Sub(due))
+			t.Fatalf("occurrence %d starts %v after it was due", e.Task.K, e.At.Sub(due))
 		}
 	}
 }
 
-// A schedule that is faster than its work must not make a record that the log
-// can't hold.
-func TestOccurrencesThatPileUpStayWithinOneRecord(t *testing.T) {
+// Guards against progress records that are too large for the log, with a schedule that is faster
+// than its work and with a job of the maximum number of tasks.
+func TestBacklogOfOccurrencesFitsInOneRecord(t *testing.T) {
 	const recordBytes = 262_144
 	s := newScenario()
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Hour} }
@@ -182,12 +183,12 @@
 	s.advance(200 * time.Millisecond)
 	for _, id := range []workload.JobID{jobA, jobB} {
 		if n := len(s.log[workload.ProgressKey(id)]); n == 0 || n > recordBytes {
-			t.Fatalf("the progress of %s has %d bytes", id, n)
+			t.Fatalf("the progress record of %s has %d bytes", id, n)
 		}
 	}
 }
 
-func TestTasksThatLastAreRestartedHoweverTheyEnd(t *testing.T) {
+func TestPerpetualTasksAreRestartedHoweverTheyEnd(t *testing.T) {
 	s := newScenario()
 	s.add(jobA, nil, workload.Step{Count: 2, Need: need(1), Perpetual: true})
 	s.advance(2 * time.Second)
@@ -204,7 +205,7 @@
 		running += w.Running()
 	}
 	if running != 2 {
-		t.Fatalf("%d tasks run", running)
+		t.Fatalf("%d tasks are running, want 2", running)
 	}
 	s.cancelledAt[jobA] = s.now
 	s.advance(2 * time.Second)
@@ -213,7 +214,7 @@
 	}
 }
 
-func TestACancelledJobStopsAndStartsNoMore(t *testing.T) {
+func TestCancelledJobStopsItsRunsAndStartsNoMore(t *testing.T) {
 	s := newScenario()
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: time.Minute} }
 	s.add(jobA, nil, workload.Step{Count: 3, Need: need(1)}, workload.Step{Count: 1, Need: need(1), DependsOn: []int{0}})
@@ -226,7 +227,7 @@
 	}
 }
 
-func TestGuaranteedWorkBeginsInTimeAndBorrowersGoOnFromWhatTheySaved(t *testing.T) {
+func TestGuaranteedWorkStartsInTimeAndBorrowersResumeFromCheckpoints(t *testing.T) {
 	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, _ string) workertest.Work {
 		if id.Job == jobA {
@@ -237,12 +238,12 @@
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(8), Checkpoint: true, EstimateMS: 5000})
 	s.advance(2 * time.Second)
 	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 2, Need: need(8), Gang: true, SameRack: true, EstimateMS: 500})
-	asked := s.now
+	submitted := s.now
 	s.advance(15 * time.Second)
 	s.check(t)
 	for _, e := range s.starts(jobB) {
-		if e.At.Sub(asked) > simBounds.ReclaimWithin {
-			t.Fatalf("guaranteed work began after %v", e.At.Sub(asked))
+		if e.At.Sub(submitted) > simBounds.ReclaimWithin {
+			t.Fatalf("guaranteed work started after %v", e.At.Sub(submitted))
 		}
 	}
 	if len(s.starts(jobB)) != 2 || s.jobState(jobA) != workload.Completed || s.jobState(jobB) != workload.Completed {
@@ -255,11 +256,11 @@
 		}
 	}
 	if resumed != 2 {
-		t.Fatalf("%d borrowers went on from what they had saved", resumed)
+		t.Fatalf("%d borrowers resumed from their checkpoints, want 2", resumed)
 	}
 }
 
-func TestADrainingWorkerGetsNothingNew(t *testing.T) {
+func TestNoStartsOnDrainingWorkers(t *testing.T) {
 	s := newScenario()
 	c := control.New(simBounds, 1, s.now)
 	c.Configure(control.Configuration{Version: 1})
@@ -277,7 +278,7 @@
 	orders := c.Persisted(s.now)
 	for _, o := range orders {
 		if o.Worker != list[3].ID {
-			t.Fatalf("%s is leaving and is given %v", o.Worker, o.Task)
+			t.Fatalf("%s is draining but got a start of %v", o.Worker, o.Task)
 		}
 	}
 	if len(orders) != 8 {
@@ -285,16 +286,16 @@
 	}
 }
 
-func TestRunsAreMovedOffAWorkerThatWillNotStayForThem(t *testing.T) {
+func TestRunsThatOutlastADrainingWorkerAreMoved(t *testing.T) {
 	for name, c := range map[string]struct {
 		takes      time.Duration
 		checkpoint bool
 		starts     int
 		saved      bool
 	}{
-		"ends in time":             {takes: time.Second, starts: 1},
-		"is lost anyway":           {takes: 8 * time.Second, starts: 2},
-		"saves at the last moment": {takes: 8 * time.Second, checkpoint: true, starts: 2, saved: true},
+		"ends in time":                {takes: time.Second, starts: 1},
+		"has no checkpoint":           {takes: 8 * time.Second, starts: 2},
+		"resumes from its checkpoint": {takes: 8 * time.Second, checkpoint: true, starts: 2, saved: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario()
@@ -312,9 +313,10 @@
 	}
 }
 
-// A planner that has just met a worker does not know what lease an earlier one
-// gave it, and must not take it for over when the worker falls silent.
-func TestAFirstAnswerMayHideAnOlderLease(t *testing.T) {
+// Guards against writing off a run while its worker may still have a lease from an earlier planner.
+// A planner that has polled a worker once does not know that lease, and must wait for its longest
+// possible duration when the worker falls silent.
+func TestRunIsNotWrittenOffWhileAnEarlierLeaseMayBeValid(t *testing.T) {
 	now := time.Unix(5000, 0)
 	c := control.New(simBounds, 2, now)
 	c.Configure(control.Configuration{Version: 1})
@@ -325,7 +327,7 @@
 	runs := []control.RunningRow{{Task: id, Run: 1}}
 	c.Held(control.HoldOrder{Worker: "w", Token: 2}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 100_000, Running: runs}, now, now)
 	c.Held(control.HoldOrder{Worker: "w", Token: 2}, control.HoldAnswer{Verdict: control.Unanswered}, now, now.Add(time.Second))
-	lost := func(after time.Duration) bool {
+	writtenOff := func(after time.Duration) bool {
 		c.Round(now.Add(after), now.Add(after).UnixMilli())
 		for _, n := range c.Notes() {
 			if n.Event == control.EventRunLost {
@@ -334,17 +336,17 @@
 		}
 		return false
 	}
-	if lost(simBounds.Lease - 100*time.Millisecond) {
-		t.Fatal("the run was given up while an older lease may hold it")
+	if writtenOff(simBounds.Lease - 100*time.Millisecond) {
+		t.Fatal("the run was written off while an earlier lease may still be valid")
 	}
-	if !lost(simBounds.Lease + simBounds.Lease/10) {
-		t.Fatal("the run is never given up")
+	if !writtenOff(simBounds.Lease + simBounds.Lease/10) {
+		t.Fatal("the run was not written off after all leases must have expired")
 	}
 }
 
-// An order that its sender lost, for instance because it was frozen until it was
-// no longer entitled to send, is sent again.
-func TestAnOrderOfWhichNothingIsHeardIsSentAgain(t *testing.T) {
+// Guards against a start that is never carried out because its order was lost, for instance because
+// the planner was frozen until it was no longer allowed to send it.
+func TestUnansweredStartOrderIsSentAgain(t *testing.T) {
 	now := time.Unix(5000, 0)
 	c := control.New(simBounds, 1, now)
 	c.List([]control.Listing{{ID: "w", Address: "w", Capacity: need(8)}}, now)
@@ -354,19 +356,19 @@
 	c.Changes()
 	first := c.Persisted(now)
 	if again := c.Due(now.Add(100 * time.Millisecond)); len(first) != 1 || len(again) != 0 {
-		t.Fatalf("%v, then %v", first, again)
+		t.Fatalf("first orders %v, want 1; repeated after 100ms %v, want none", first, again)
 	}
 	again := c.Due(now.Add(3 * time.Second))
 	if len(again) != 1 || again[0].Task != first[0].Task || again[0].Run != first[0].Run {
-		t.Fatalf("%v", again)
+		t.Fatalf("repeated after 3s: %v, want the first order", again)
 	}
 	c.Started(again[0], control.Answer{Verdict: control.Accepted}, now.Add(3*time.Second))
 	if more := c.Due(now.Add(9 * time.Second)); len(more) != 0 {
-		t.Fatalf("%v after its answer", more)
+		t.Fatalf("repeated after its answer: %v", more)
 	}
 }
 
-func TestOneAccountsGuaranteeIsNotAnothers(t *testing.T) {
+func TestGuaranteeAppliesOnlyToItsClientAccount(t *testing.T) {
 	now := time.Unix(5000, 0)
 	c := control.New(simBounds, 1, now)
 	c.Configure(control.Configuration{Version: 1, Guaranteed: map[domain.AccountID]int64{"has": 8}})
@@ -381,13 +383,13 @@
 	c.Changes()
 	orders := c.Persisted(now)
 	if len(orders) != 1 || orders[0].Task.Job != "0000000000000001" {
-		t.Fatalf("%+v", orders)
+		t.Fatalf("starts %+v, want only the job with a guarantee", orders)
 	}
 }
 
-// A planner that ends between writing that a job is over and stopping its runs
-// leaves the stops to its successor.
-func TestASuccessorStopsWhatItsPredecessorMeantToStop(t *testing.T) {
+// Guards against runs that go on after their job has ended because the planner died between writing
+// the job's end and stopping the runs.
+func TestSuccessorStopsRunsOfJobsItsPredecessorEnded(t *testing.T) {
 	for _, state := range []workload.State{workload.Cancelled, workload.Failed} {
 		t.Run(string(state), func(t *testing.T) {
 			s := newScenario()
--- a/workload/control/world_lines_test.go
+++ b/workload/control/simulation_connections_test.go
@@ -7,9 +7,10 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// lines are one planner's connections to workers. Each leads to the life that was there when
-// it was made, and ends with it. Half of those that holds make are kept; where there is none
-// an order to a recipient makes one of its own, on which the life answers first.
+// connections are a planner's connections to workers. Each leads to the incarnation that was
+// running when it was made, and ends with it. Half of those that lease renewals make are kept. If
+// there is none, an order with a recipient makes a connection, on which the incarnation first
+// identifies itself.
 type connections struct {
 	last int64
 	kept map[string]connection
@@ -20,25 +21,26 @@
 	incarnation *workertest.Worker
 }
 
-// lineBreaks is how soon a connection that can't be made, or that leads to another life than
-// the order is meant for, is found out.
+// connectTime is how soon it is detected that a connection can't be made, or leads to another
+// incarnation than the order is meant for.
 const connectTime = 5 * time.Millisecond
 
-// made notes the connection of a hold that has arrived, and returns the newest that there is.
-func (c *connections) add(worker string, life *workertest.Worker) int64 {
+// add records the connection of a lease renewal that has arrived, and returns the number of the
+// newest connection.
+func (c *connections) add(worker string, incarnation *workertest.Worker) int64 {
 	c.last++
 	if c.kept == nil {
 		c.kept = map[string]connection{}
 	}
 	if c.last%2 == 0 {
-		c.kept[worker] = connection{c.last, life}
+		c.kept[worker] = connection{c.last, incarnation}
 	}
 	return c.last
 }
 
-// lineTo finds the life that an order to a recipient reaches, if any; one that is dead, or cut
-// off, is found out as such on the way.
-func (sim *simulation) connectionTo(p *planner, worker string, to control.Recipient) (life *workertest.Worker, reached bool) {
+// connectionTo returns the incarnation that an order with a recipient reaches, if any. Whether it
+// is dead or unreachable is detected on delivery.
+func (sim *simulation) connectionTo(p *planner, worker string, to control.Recipient) (incarnation *workertest.Worker, reached bool) {
 	if kept, ok := p.connections.kept[worker]; ok && kept.number <= to.Connections {
 		return kept.incarnation, true
 	}
--- a/workload/control/world_orders_test.go
+++ b/workload/control/simulation_orders_test.go
@@ -8,52 +8,53 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// How a world's orders and their answers get to and fro, and what is held against what must
-// hold when ends are noted.
+// Delivery of the simulation's orders and their answers, and the checks when ends are
+// acknowledged.
 
-// delays of an order's way there, of the answer's way back, and of the time at
-// which the caller gives up.
-func (sim *simulation) drawDelivery(worker string) (there time.Duration, answered bool, lost bool) {
-	there = time.Duration(1+sim.rng.Intn(20)) * time.Millisecond
+// drawDelivery draws the delay of an order and whether the order or its answer gets lost.
+func (sim *simulation) drawDelivery(worker string) (delay time.Duration, answered bool, lost bool) {
+	delay = time.Duration(1+sim.rng.Intn(20)) * time.Millisecond
 	if sim.now.Before(sim.unreachableUntil[worker]) {
 		return 0, false, true
 	}
 	if !sim.faulty {
-		return there, true, false
+		return delay, true, false
 	}
 	switch sim.rng.Intn(25) {
 	case 0:
 		return time.Duration(2000+sim.rng.Intn(10000)) * time.Millisecond, false, false
 	case 1:
-		return there, false, false
+		return delay, false, false
 	case 2:
 		return 0, false, true
 	}
-	return there, true, false
+	return delay, true, false
 }
 
+// orderTimeout is when the sender of an order gives it up.
 const orderTimeout = 600 * time.Millisecond
 
 func (sim *simulation) schedule(d time.Duration, f func()) {
 	sim.deliveries = append(sim.deliveries, delivery{sim.now.Add(d), f})
 }
 
-// send carries an order there, and the answer back or the silence in its place. One that goes
-// over a connection to a life reaches that life or none; life is nil for whoever is there.
-func (sim *simulation) send(worker string, p *planner, life *workertest.Worker, do func(*workertest.Worker) func(), fail func(control.Verdict)) {
-	there, answered, lost := sim.drawDelivery(worker)
+// send delivers an order and its answer, or reports a timeout to the sender. An order over a
+// connection reaches the given incarnation or none; with a nil incarnation it reaches the one that
+// is running when the order arrives.
+func (sim *simulation) send(worker string, p *planner, incarnation *workertest.Worker, carryOut func(*workertest.Worker) func(), fail func(control.Verdict)) {
+	delay, answered, lost := sim.drawDelivery(worker)
 	silence := func() { fail(control.Unanswered) }
 	if !lost {
-		sim.schedule(there, func() {
+		sim.schedule(delay, func() {
 			target := sim.fleet.Workers[worker]
-			if target == nil || target.Dead || (life != nil && target != life) {
+			if target == nil || target.Dead || (incarnation != nil && target != incarnation) {
 				if answered {
 					verdict, after := sim.crashes.callResult(worker)
 					sim.schedule(after, func() { sim.deliver(p, func() { fail(verdict) }) })
 				}
 				return
 			}
-			reply := do(target)
+			reply := carryOut(target)
 			if answered {
 				sim.schedule(time.Duration(1+sim.rng.Intn(20))*time.Millisecond, func() { sim.deliver(p, reply) })
 			}
@@ -87,10 +88,10 @@
 		})
 		return
 	}
-	var life *workertest.Worker
+	var incarnation *workertest.Worker
 	reached := true
 	if !sim.mutant.unboundStarts {
-		life, reached = sim.connectionTo(p, o.Worker, o.To)
+		incarnation, reached = sim.connectionTo(p, o.Worker, o.To)
 	}
 	if !reached {
 		sim.schedule(connectTime, func() {
@@ -98,7 +99,7 @@
 		})
 		return
 	}
-	sim.send(o.Worker, p, life, func(target *workertest.Worker) func() {
+	sim.send(o.Worker, p, incarnation, func(target *workertest.Worker) func() {
 		sim.delayedStarts[o.Worker+o.Task.String()] = sim.now.Sub(sent) > time.Second
 		a := target.Start(o, sim.now)
 		if sim.unansweredJobs[o.Task.Job] {
@@ -139,17 +140,17 @@
 		sim.maxCursors[o.Worker] = max(sim.maxCursors[o.Worker], o.Cursor)
 		o.Cursor = sim.maxCursors[o.Worker]
 	}
-	var life *workertest.Worker
+	var incarnation *workertest.Worker
 	if o.Cursor > 0 && !sim.mutant.reusedCursors && !sim.mutant.earlyAck && !sim.mutant.unboundCursors {
 		reached := true
-		if life, reached = sim.connectionTo(p, o.Worker, o.To); !reached {
+		if incarnation, reached = sim.connectionTo(p, o.Worker, o.To); !reached {
 			sim.schedule(connectTime, func() {
 				sim.deliver(p, func() { p.core.Held(o, control.HoldAnswer{Verdict: control.Unreached}, sent, sim.now) })
 			})
 			return
 		}
 	}
-	sim.send(o.Worker, p, life, func(target *workertest.Worker) func() {
+	sim.send(o.Worker, p, incarnation, func(target *workertest.Worker) func() {
 		connections := p.connections.add(o.Worker, target)
 		if sim.longPoll && o.Wait > 0 && len(target.Ended()) == 0 {
 			target.Keep(o, sim.now)
@@ -158,7 +159,7 @@
 		}
 		before := target.Ended()
 		if sim.trace != nil {
-			sim.trace("worker hold %s deadline %d clock %d void %d cursor %d token %d", o.Worker, o.DeadlineMS, target.ClockMS(sim.now), target.Void(), o.Cursor, o.Token)
+			sim.trace("worker renewal %s deadline %d clock %d void %d cursor %d token %d", o.Worker, o.DeadlineMS, target.ClockMS(sim.now), target.Void(), o.Cursor, o.Token)
 		}
 		a := sim.mutant.alterAnswer(target.Hold(o, sim.now), sim.now)
 		a.Connections = connections
@@ -167,8 +168,8 @@
 	}, func(v control.Verdict) { p.core.Held(o, control.HoldAnswer{Verdict: v}, sent, sim.now) })
 }
 
-// await answers a hold that waits for news once there is an end, or its time is over; a worker
-// that dies meanwhile breaks the call off.
+// awaitEnd answers a delayed lease renewal once a run has ended or its wait is over. If the worker
+// dies meanwhile, the call gets no answer.
 func (sim *simulation) awaitEnd(p *planner, target *workertest.Worker, o control.HoldOrder, connections int64, sent, until time.Time) {
 	sim.schedule(10*time.Millisecond, func() {
 		switch {
@@ -186,7 +187,7 @@
 	})
 }
 
-// noteEnds marks ends that the cursor has passed as taken note of for good.
+// recordAcknowledged records the done ends that a lease renewal has let the worker forget.
 func (sim *simulation) recordAcknowledged(target *workertest.Worker, rows []control.EndedRow, cursor int64) {
 	for _, row := range rows {
 		if row.Number > max(cursor, target.Acked()) || row.How != control.EndDone || row.Number <= target.Void() {
@@ -194,7 +195,7 @@
 		}
 		sim.recordDone(row.Task)
 		if sim.restartedAfterDone[runKey{row.Task, row.Run}] {
-			sim.violation("%v began again although its end was noted later", row.Task)
+			sim.violation("%v was started again although its end was acknowledged later", row.Task)
 		}
 	}
 }
--- a/workload/control/world_test.go
+++ b/workload/control/simulation_test.go
@@ -13,9 +13,9 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// The world plays planners, one after the other and sometimes two at once,
-// against a model of workers over a network that delays, loses and repeats
-// orders, and holds what workers saw against what must always hold.
+// The simulation runs planners, one after another and sometimes two at once, against a model of
+// workers over a network that delays, loses and repeats orders. It checks everything that happens
+// on the workers against the planner's invariants.
 
 var simLimits = workertest.Limits{
 	HoldMax: 6 * time.Second, StopTimeout: 300 * time.Millisecond, GangTimeout: 3 * time.Second,
@@ -30,6 +30,7 @@
 
 const maxAttempts = 3
 
+// simulation is a randomized run of planners against simulated workers.
 type simulation struct {
 	rng              *rand.Rand
 	now              time.Time
@@ -43,17 +44,17 @@
 	planners         []*planner
 	deliveries       []delivery
 	unreachableUntil map[string]time.Time
-	// leaving are workers that drain, and the time that they stay.
+	// drainRemainingMS is how long each draining worker still runs.
 	drainRemainingMS map[string]int64
 	faulty           bool
-	// What workers saw.
+	// running to failures are what has happened on the workers.
 	running          map[workload.TaskID]map[string]int64
 	doneRun          map[workload.TaskID]int64
 	acknowledgedDone map[workload.TaskID]bool
 	failures         map[workload.TaskID]int
-	// again holds tasks that began after one of their runs had ended as done.
+	// restartedAfterDone are done runs whose tasks were started again afterwards.
 	restartedAfterDone map[runKey]bool
-	// void holds runs whose ends were lost with their workers.
+	// voidRuns are runs whose ends were lost with their workers.
 	voidRuns   map[runKey]bool
 	startCount int
 	violations []string
@@ -61,46 +62,47 @@
 	mutant     mutant
 	crashes    crashModel
 	capacities capacityModel
-	// late are the starts that are carried out seconds after they were given up, by worker
-	// and task.
+	// delayedStarts are starts that were delivered after their senders had given them up, by
+	// worker and task.
 	delayedStarts map[string]bool
-	// restarts is until when the entry of a worker that starts again stays in the list
-	// without it, shownBorn the birth that its entry shows.
+	// entryExpiresAt is until when the list shows the entry of a worker that has crashed and will
+	// restart, listedBorn the start time that the entry shows.
 	entryExpiresAt map[string]time.Time
 	listedBorn     map[string]int64
-	// unsettled are the runs that a planner told of as ones that nothing settles.
+	// unsettledRuns are the runs that a planner reported as ones whose state can't be resolved.
 	unsettledRuns []string
-	// cursors are the highest that went to each worker, for a mutant.
+	// maxCursors are the highest cursors sent to each worker, for mutant.reusedCursors.
 	maxCursors map[string]int64
-	// waits tells that holds wait for news.
+	// longPoll has workers delay answers to lease renewals until they have something to report.
 	longPoll bool
-	// registry is the list where it is written by heartbeats and read late; nil is a list that
-	// is always as things are.
+	// registry is a worker list that heartbeats update and planners read late; nil is a list that
+	// is always up to date.
 	registry *registry
-	// left counts the workers that were found to have left.
+	// departures counts the workers that planners found to have left.
 	departures int
-	// writeMost is the longest that the log takes to answer a planner; 0 is at once.
+	// maxWriteTime is the maximum time that a write to the log takes; 0 is none.
 	maxWriteTime time.Duration
-	// restarted is told of each later life; nil tells nobody.
+	// onRestart, if set, is called with each new incarnation of a worker.
 	onRestart func(*workertest.Worker)
-	// unanswered are the jobs whose starts get no answer.
+	// unansweredJobs are the jobs whose start orders get no answer.
 	unansweredJobs map[workload.JobID]bool
-	// delays are how long the starts of some jobs are on their way; they get no answer.
+	// startDelays are the delivery delays of some jobs' start orders, which get no answer.
 	startDelays map[workload.JobID]time.Duration
 }
 
+// planner is a planner with its core, its token and its connections to workers.
 type planner struct {
 	core        *control.Core
 	connections connections
 	token       int64
-	// ordered is the token that its last start carried.
+	// lastStartToken is the token of its last start order.
 	lastStartToken int64
 	written        time.Time
 	frozenUntil    time.Time
-	// writing is until when the log has not answered.
+	// writingUntil is when its write to the log is answered.
 	writingUntil time.Time
 	dead         bool
-	// gaps are those of the registry that it was told of.
+	// seenGaps is the number of the registry's gaps that were reported to it.
 	seenGaps int
 }
 
@@ -109,7 +111,7 @@
 	run  int64
 }
 
-// letter is something on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at  time.Time
 	run func()
@@ -141,7 +143,8 @@
 	return j.Steps[id.Step], true
 }
 
-// work: a run's length and luck depend on the task and the run alone.
+// randomWork returns a run's duration and whether it fails. Both depend only on the task and the
+// run.
 func (sim *simulation) randomWork(id workload.TaskID, run int64, _ string) workertest.Work {
 	r := rand.New(rand.NewSource(int64(len(id.Job))*7919 + int64(id.Step)*31 + int64(id.Index) + run*104729 + int64(id.Job[0])))
 	takes := time.Duration(200+r.Intn(2500)) * time.Millisecond
@@ -152,7 +155,7 @@
 	sim.violations = append(sim.violations, fmt.Sprintf("%v ", sim.now.Sub(time.Unix(1_000_000, 0)))+fmt.Sprintf(format, args...))
 }
 
-// see checks each beginning and end against what must hold.
+// checkEvent checks each start and end of a run against the invariants.
 func (sim *simulation) checkEvent(e workertest.Event) {
 	if e.How == "" {
 		sim.checkStart(e)
@@ -165,8 +168,8 @@
 	case control.EndDone:
 		sim.doneRun[e.Task] = e.Run
 	case workertest.EndVoid:
-		// Nobody can take note of it any more. A late order may begin a run of its number on
-		// the next life, whose end is another one.
+		// No planner can record it any more. A late order may start a run of the same number on
+		// the worker's next incarnation, whose end is another one.
 		sim.voidRuns[runKey{e.Task, e.Run}] = true
 	}
 }
@@ -177,10 +180,10 @@
 	sim.checkCapacity(e)
 	j := sim.jobs[e.Task.Job]
 	if len(sim.running[e.Task]) > 0 {
-		sim.violation("%v runs twice: run %d on %s beside %v", e.Task, e.Run, e.Worker, sim.running[e.Task])
+		sim.violation("%v runs twice: run %d starts on %s beside %v", e.Task, e.Run, e.Worker, sim.running[e.Task])
 	}
 	if sim.acknowledgedDone[e.Task] {
-		sim.violation("%v run %d begins after its end was noted", e.Task, e.Run)
+		sim.violation("%v run %d starts after the task's end was recorded", e.Task, e.Run)
 	}
 	if last := (runKey{e.Task, sim.doneRun[e.Task]}); last.run > 0 && !sim.voidRuns[last] {
 		sim.restartedAfterDone[runKey{e.Task, sim.doneRun[e.Task]}] = true
@@ -190,21 +193,21 @@
 	}
 	sim.running[e.Task][e.Worker] = e.Run
 	if e.Spec != j.Spec {
-		sim.violation("%v begins with another spec", e.Task)
+		sim.violation("%v starts with another spec", e.Task)
 	}
 	for _, d := range j.Steps[e.Task.Step].DependsOn {
 		for i := range j.Steps[d].Count {
 			if sim.doneRun[workload.TaskID{Job: j.ID, K: e.Task.K, Step: d, Index: i}] == 0 {
-				sim.violation("%v begins before step %d is done", e.Task, d)
+				sim.violation("%v starts before step %d is done", e.Task, d)
 			}
 		}
 	}
 	if at, ok := sim.cancelledAt[j.ID]; ok && sim.now.Sub(at) > 20*time.Second {
-		sim.violation("%v begins long after its cancel", e.Task)
+		sim.violation("%v starts more than 20s after its job's cancellation", e.Task)
 	}
-	counted := e.Task
-	if !j.Steps[e.Task.Step].Gang && sim.failures[counted] >= maxAttempts {
-		sim.violation("%v begins after %d failures", e.Task, sim.failures[counted])
+	task := e.Task
+	if !j.Steps[e.Task.Step].Gang && sim.failures[task] >= maxAttempts {
+		sim.violation("%v starts after %d failures", e.Task, sim.failures[task])
 	}
 }
 
@@ -233,7 +236,7 @@
 	return workload.Entry{Job: sim.jobs[id], Cancelled: cancelled, Progress: sim.log[workload.ProgressKey(id)]}
 }
 
-// claim seats a new planner. Those before it go on until they notice.
+// startPlanner starts a new planner. Earlier ones run on until they find that they are deposed.
 func (sim *simulation) startPlanner(mutate func(*control.Core)) {
 	if !sim.mutant.sameToken || sim.token == 0 {
 		sim.token++
@@ -271,7 +274,7 @@
 	return out
 }
 
-// play runs a planner's round: decide, write, order.
+// runRound runs a planner's round: it decides, writes to the log, and sends orders.
 func (sim *simulation) runRound(p *planner) {
 	if p.dead || sim.now.Before(p.frozenUntil) || p.core.Deposed() {
 		return
@@ -287,7 +290,7 @@
 	p.core.Round(sim.now, sim.now.UnixMilli())
 	records := p.core.Changes()
 	if p.token != sim.token && !sim.mutant.unfencedLog {
-		// The log refuses its writes; it stops here, but what it sent is under way.
+		// The log refuses its writes, so it stops here. What it has sent is still in transit.
 		p.dead = true
 		return
 	}
@@ -310,7 +313,7 @@
 	sim.sendPersisted(p)
 }
 
-// release orders what the log has taken.
+// sendPersisted sends the orders that the log has recorded.
 func (sim *simulation) sendPersisted(p *planner) {
 	if p.dead || p.core.Deposed() {
 		return
@@ -348,7 +351,7 @@
 	}
 }
 
-// tick moves time on, delivers what is due and lets planners play.
+// tick advances the time, delivers what is due and runs the planners' rounds.
 func (sim *simulation) tick(d time.Duration) {
 	sim.now = sim.now.Add(d)
 	sim.fleet.Advance(sim.now)
@@ -356,19 +359,19 @@
 	due := sim.deliveries
 	sim.deliveries = nil
 	sort.SliceStable(due, func(a, b int) bool { return due[a].at.Before(due[b].at) })
-	for _, l := range due {
-		if l.at.After(sim.now) {
-			sim.deliveries = append(sim.deliveries, l)
+	for _, message := range due {
+		if message.at.After(sim.now) {
+			sim.deliveries = append(sim.deliveries, message)
 			continue
 		}
-		l.run()
+		message.run()
 	}
 	for _, p := range sim.planners {
 		sim.runRound(p)
 	}
 }
 
-// disturb brings one of the troubles about.
+// injectFault injects a random fault, or none.
 func (sim *simulation) injectFault(mutate func(*control.Core)) {
 	switch sim.rng.Intn(40) {
 	case 0:
@@ -407,16 +410,17 @@
 	return ids[sim.rng.Intn(len(ids))]
 }
 
-// run plays a world of some steps, then a calm while in which all must end.
+// runSimulation runs a simulation to its end.
 func runSimulation(seed int64, faulty bool, mutate func(*control.Core)) *simulation {
 	sim := newSimulation(seed, faulty)
 	sim.run(mutate)
 	return sim
 }
 
-// steps is the length of a world.
+// simSteps is the number of ticks in a simulation before faults end.
 const simSteps = 600
 
+// run runs some ticks with faults, if any, then a period without in which all jobs must end.
 func (sim *simulation) run(mutate func(*control.Core)) {
 	sim.startPlanner(mutate)
 	for i := range simSteps {
@@ -435,6 +439,7 @@
 	sim.settle(mutate)
 }
 
+// settle ends all faults and runs until all jobs have ended.
 func (sim *simulation) settle(mutate func(*control.Core)) {
 	sim.faulty = false
 	sim.unreachableUntil = map[string]time.Time{}
@@ -452,6 +457,7 @@
 
 func (sim *simulation) allFinal() bool { return len(sim.unfinished()) == 0 }
 
+// unfinished lists the jobs that have not ended according to the log.
 func (sim *simulation) unfinished() []string {
 	var out []string
 	book := workload.NewBook()
@@ -474,10 +480,10 @@
 	return out
 }
 
-// state is a job's, as its record shows it.
+// jobState returns a job's state according to its record in the log.
 func (sim *simulation) jobState(id workload.JobID) workload.State {
-	for _, open := range sim.unfinished() {
-		if len(open) >= 16 && workload.JobID(open[:16]) == id {
+	for _, unfinished := range sim.unfinished() {
+		if len(unfinished) >= 16 && workload.JobID(unfinished[:16]) == id {
 			return workload.Running
 		}
 	}
@@ -496,30 +502,30 @@
 }
 
 func TestTasksRunOnceInOrderAndEndUnderRandomFaults(t *testing.T) {
-	worlds, starts := 150, 0
+	simulations, starts := 150, 0
 	if testing.Short() {
-		worlds = 20
+		simulations = 20
 	}
-	for seed := range worlds {
-		w := runSimulation(int64(seed), true, nil)
-		starts += w.startCount
-		if len(w.violations) > 0 {
-			t.Fatalf("seed %d: %v", seed, w.violations)
+	for seed := range simulations {
+		sim := runSimulation(int64(seed), true, nil)
+		starts += sim.startCount
+		if len(sim.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, sim.violations)
 		}
 	}
-	t.Logf("%d worlds, %d starts", worlds, starts)
+	t.Logf("%d simulations, %d starts", simulations, starts)
 }
 
-func TestCalmWorldsEndWithoutWaste(t *testing.T) {
+func TestJobsCompleteWithoutFaults(t *testing.T) {
 	for seed := range 20 {
-		w := runSimulation(int64(seed), false, nil)
-		if len(w.violations) > 0 {
-			t.Fatalf("seed %d: %v", seed, w.violations)
+		sim := runSimulation(int64(seed), false, nil)
+		if len(sim.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, sim.violations)
 		}
 	}
 }
 
-// bounds are those of the world, or of a mutant.
+// bounds returns the planners' bounds, altered by the mutant.
 func (sim *simulation) bounds() control.Bounds {
 	b := simBounds
 	b.Lease -= sim.mutant.extraLease
--- a/workload/control/speeds_test.go
+++ b/workload/control/speeds_test.go
@@ -8,11 +8,11 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// speedScene runs tasks on workers of which w0 takes half as long as the others
-// and w5 twice as long.
+// newSingleTaskSpeedScenario returns a scenario in which speeds were measured from single tasks.
 func newSingleTaskSpeedScenario() *scenario { return newSpeedScenario(false) }
 
-// newSpeedScene has it learnt from gangs, or from single tasks.
+// newSpeedScenario runs gangs or single tasks on workers of which w0 takes half as long as the
+// others and w5 twice as long.
 func newSpeedScenario(gangs bool) *scenario {
 	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, worker string) workertest.Work {
@@ -35,7 +35,7 @@
 	return s
 }
 
-func TestTheFirstPriorityRunsOnTheFasterWorkersOnceTheyAreKnown(t *testing.T) {
+func TestFirstPriorityRunsOnWorkersMeasuredAsFaster(t *testing.T) {
 	s := newSingleTaskSpeedScenario()
 	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 1, Need: need(4), EstimateMS: 1000})
 	s.advance(5 * time.Second)
@@ -45,9 +45,9 @@
 	}
 }
 
-// A gang's members get on each at their own pace, and those that have done their share wait:
-// where most work comes in gangs, they are what tells of workers.
-func TestSpeedsAreLearntFromGangs(t *testing.T) {
+// Guards against speeds that are only measured from single tasks, since most work may be in gangs.
+// A gang's members progress at their own pace, and wait at the end for the slowest.
+func TestSpeedsAreMeasuredFromGangs(t *testing.T) {
 	s := newSpeedScenario(true)
 	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 2, Gang: true, Need: need(4), EstimateMS: 1000})
 	s.advance(8 * time.Second)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestOtherWorkLeavesTheFasterWorkersFree(t *testing.T) {
+func TestLowerPriorityLeavesFasterWorkersFree(t *testing.T) {
 	s := newSingleTaskSpeedScenario()
 	s.add(jobB, nil, workload.Step{Count: 1, Need: need(4), EstimateMS: 1000})
 	s.advance(5 * time.Second)
--- a/workload/control/stragglers_test.go
+++ b/workload/control/stragglers_test.go
@@ -11,14 +11,14 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// One task in 33 takes seven times as long as the others, so that a third of all gangs of 13
-// has one. The members that have done their share are shown at 100 percent until it ends. Each
-// was taken for one that stands still: it was stopped, its worker got nothing for a while, and
-// the whole gang began again.
+// If one task in 33 takes seven times as long as the others, a third of all gangs of 13 have one.
+// The finished members are reported at 100 percent until it ends. They were taken for stalled: each
+// was stopped, its worker got no work for a while, and the whole gang was restarted.
 
+// stragglerFactor is how many times as long a straggler takes.
 const stragglerFactor = 7
 
-// newTailScene has gangs in each of which one task takes seven times as long.
+// newStragglerScenario returns a scenario in which the first task of each step is a straggler.
 func newStragglerScenario(takes time.Duration) *scenario {
 	s := newScenario()
 	s.fleet.Work = func(id workload.TaskID, _ int64, _ string) workertest.Work {
@@ -30,7 +30,7 @@
 	return s
 }
 
-func TestAGangsMemberThatWaitsForASlowOneDoesNotStandStill(t *testing.T) {
+func TestGangMemberWaitingForAStragglerIsNotStopped(t *testing.T) {
 	const takes = 2500 * time.Millisecond
 	s := newStragglerScenario(takes)
 	s.add(jobA, nil, workload.Step{Count: 5, Gang: true, Need: need(2), EstimateMS: takes.Milliseconds()})
@@ -41,9 +41,9 @@
 	}
 }
 
-// A gang whose members have all done their share and that does not end stands still, as does
-// one whose slow member does.
-func TestAGangThatStandsStillIsStopped(t *testing.T) {
+// Guards against stalled gangs that are never stopped since their finished members are not
+// expected to make progress.
+func TestStalledGangIsStopped(t *testing.T) {
 	const takes = 2500 * time.Millisecond
 	s := newStragglerScenario(takes)
 	work, hangs := s.fleet.Work, true
@@ -52,10 +52,10 @@
 		out.Hang = id.Index == 0 && hangs
 		return out
 	}
-	told := 0
+	reported := 0
 	s.trace = func(format string, args ...any) {
 		if strings.Contains(fmt.Sprintf(format, args...), control.EventRunStandsStill) {
-			told++
+			reported++
 		}
 	}
 	s.add(jobA, nil, workload.Step{Count: 5, Gang: true, Need: need(2), EstimateMS: takes.Milliseconds()})
@@ -66,7 +66,7 @@
 	if n := len(s.starts(jobA)); n <= 5 || s.jobState(jobA) != workload.Completed {
 		t.Fatalf("%d starts, and the job is %s", n, s.jobState(jobA))
 	}
-	if told == 0 {
-		t.Fatal("nothing was said of the member that stands still")
+	if reported == 0 {
+		t.Fatal("no run-stands-still event for the stalled member")
 	}
 }
