--- a/workload/control/crash_failures_test.go
+++ b/workload/control/crash_failures_test.go
@@ -8,88 +8,88 @@
 	"testing"
 )
 
-// playCrowded plays crowded worlds at once, and returns them by their seeds.
-func playCrowded(seeds []int64, gangs bool) map[int64]*simulation {
-	worlds := make([]*simulation, len(seeds))
+// runCrowdedSimulations runs crowded crash simulations in parallel, and returns them by seed.
+func runCrowdedSimulations(seeds []int64, gangs bool) map[int64]*simulation {
+	sims := make([]*simulation, len(seeds))
 	var group sync.WaitGroup
-	room := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, seed := range seeds {
 		group.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			worlds[i] = newCrowdedCrashSimulation(seed, gangs)
-			worlds[i].run(nil)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			sims[i] = newCrowdedCrashSimulation(seed, gangs)
+			sims[i].run(nil)
 		})
 	}
 	group.Wait()
-	out := map[int64]*simulation{}
+	bySeed := map[int64]*simulation{}
 	for i, seed := range seeds {
-		out[seed] = worlds[i]
+		bySeed[seed] = sims[i]
 	}
-	return out
+	return bySeed
 }
 
-// Guards against innocent jobs being given up for crashes for which another job was given up: the
-// worlds in which that was seen.
-func TestVerdictsSpareWhatWasBesideInACrowdedPool(t *testing.T) {
+// Guards against harmless jobs that fail for crashes for which another job failed, with the seeds
+// that showed it.
+func TestHarmlessJobsDoNotFailInCrowdedPool(t *testing.T) {
 	for gangs, seeds := range map[bool][]int64{false: {1377, 1828, 1956}, true: {173}} {
-		for seed, w := range playCrowded(seeds, gangs) {
-			if innocent := w.wronglyFailedJobs(); len(innocent) > 0 || len(w.violations) > 0 {
-				t.Errorf("gangs %t, seed %d: given up though innocent: %v; %v", gangs, seed, innocent, w.violations)
+		for seed, sim := range runCrowdedSimulations(seeds, gangs) {
+			if wronglyFailed := sim.wronglyFailedJobs(); len(wronglyFailed) > 0 || len(sim.violations) > 0 {
+				t.Errorf("gangs %t, seed %d: wrongly failed jobs: %v; violations: %v", gangs, seed, wronglyFailed, sim.violations)
 			}
 		}
 	}
 }
 
-// Verdicts that exonerate a task that crashes its workers, since it was beside another one, don't
-// take it over its bound. CROWDED_WORLDS=2000 plays so many of each kind, from the seed
-// CROWDED_FROM on, and tells how many jobs were given up though innocent.
-func TestVerdictsKeepTheBoundInACrowdedPool(t *testing.T) {
-	worlds, from := 8, int64(1)
-	for name, value := range map[string]any{"CROWDED_WORLDS": &worlds, "CROWDED_FROM": &from} {
-		if asked := os.Getenv(name); asked != "" {
-			if _, err := fmt.Sscan(asked, value); err != nil {
+// A task that crashes its workers may be exonerated because the job of a task beside it failed. It
+// must not be started more often than allowed nevertheless. CROWDED_WORLDS=2000 runs 2,000
+// simulations of each kind, with the seeds from CROWDED_FROM, and logs how many jobs failed wrongly.
+func TestExonerationsKeepStartLimitInCrowdedPool(t *testing.T) {
+	count, from := 8, int64(1)
+	for name, value := range map[string]any{"CROWDED_WORLDS": &count, "CROWDED_FROM": &from} {
+		if env := os.Getenv(name); env != "" {
+			if _, err := fmt.Sscan(env, value); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for _, gangs := range []bool{false, true} {
-		seeds := make([]int64, worlds)
+		seeds := make([]int64, count)
 		for i := range seeds {
 			seeds[i] = from + int64(i)
 		}
-		innocent, atBound := 0, 0
-		for seed, w := range playCrowded(seeds, gangs) {
-			if len(w.violations) > 0 {
-				t.Errorf("gangs %t, seed %d: %v", gangs, seed, w.violations)
+		wronglyFailed, atLimit := 0, 0
+		for seed, sim := range runCrowdedSimulations(seeds, gangs) {
+			if len(sim.violations) > 0 {
+				t.Errorf("gangs %t, seed %d: %v", gangs, seed, sim.violations)
 			}
-			if jobs := w.wronglyFailedJobs(); len(jobs) > 0 {
-				innocent += len(jobs)
-				t.Logf("gangs %t, seed %d: given up though innocent: %v", gangs, seed, jobs)
+			if jobs := sim.wronglyFailedJobs(); len(jobs) > 0 {
+				wronglyFailed += len(jobs)
+				t.Logf("gangs %t, seed %d: wrongly failed jobs: %v", gangs, seed, jobs)
 			}
-			atBound += w.tasksAtLimit()
+			atLimit += sim.tasksAtLimit()
 		}
-		t.Logf("gangs %t, %d worlds, %d jobs given up though innocent, %d tasks at their bound", gangs, worlds, innocent, atBound)
+		t.Logf("gangs %t, %d simulations, %d wrongly failed jobs, %d tasks at their start limit", gangs, count, wronglyFailed, atLimit)
 	}
 }
 
-// tasksAtBound counts the tasks that one start more would have taken over their bound.
+// tasksAtLimit counts the tasks that were started as often as allowed after crashLimit crashes.
 func (sim *simulation) tasksAtLimit() int {
 	count := 0
-	for _, more := range sim.crashes.startsAfterLimit {
-		if more == maxStartsAfterLimit {
+	for _, starts := range sim.crashes.startsAfterLimit {
+		if starts == maxStartsAfterLimit {
 			count++
 		}
 	}
 	return count
 }
 
-// Guards against a gang waiting for ever since its job keeps off the workers on which its tasks
-// have failed, and the others have no room for it.
-func TestAGangWhoseTasksHaveFailedFindsRoomInASmallPool(t *testing.T) {
-	for seed, w := range playCrowded([]int64{1001, 1729}, false) {
-		if len(w.violations) > 0 {
-			t.Errorf("seed %d: %v", seed, w.violations)
+// Guards against a gang that waits for ever because its job avoids the workers on which its tasks
+// have failed, and the other workers have no capacity for it.
+func TestGangWithFailedTasksIsPlacedInSmallPool(t *testing.T) {
+	for seed, sim := range runCrowdedSimulations([]int64{1001, 1729}, false) {
+		if len(sim.violations) > 0 {
+			t.Errorf("seed %d: %v", seed, sim.violations)
 		}
 	}
 }
--- a/workload/control/incarnations_test.go
+++ b/workload/control/crash_model_test.go
@@ -10,33 +10,33 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// lives are the lives of a world's workers: one that a task has crashed is followed by
-// another at its address.
+// crashModel makes tasks crash their workers. A crashed worker is followed by another one at its
+// address.
 type crashModel struct {
-	// after is how soon after its start a job's task crashes its worker; jobs that are
-	// not there crash none.
+	// crashAfter is how long after its start a job's task crashes its worker. Tasks of jobs that are
+	// not listed crash none.
 	crashAfter map[workload.JobID]time.Duration
-	// back is how long a crashed worker is away.
+	// restartDelay is the time from a crash until the next worker starts at the address.
 	restartDelay time.Duration
-	// places are the addresses and racks of later lives, by worker.
+	// locations are the addresses and racks of the workers that follow crashed ones, by worker id.
 	locations map[string]location
-	// next is the life that follows at an address, entries are the times at which the
-	// entries of the dead leave the list.
+	// successors are the workers that follow crashed ones at their addresses, and entryExpiresAt the
+	// times at which the entries of crashed workers expire, both by the crashed worker's id.
 	successors     map[string]string
 	entryExpiresAt map[string]time.Time
-	// crashes counts the workers that crashed under each task, more the starts of a
-	// task after the third.
+	// crashCount counts the workers that crashed under each task, and startsAfterLimit the starts of
+	// each task after crashLimit crashes.
 	crashCount, startsAfterLimit map[workload.TaskID]int
-	// gangs tells that jobs whose tasks crash their workers have gangs alone.
+	// gangsOnly is set if all steps of jobs that crash their workers are gangs.
 	gangsOnly bool
 }
 
 type location struct{ address, rack string }
 
-// entryStays is how long a dead worker's entry stays in the list: three heartbeats.
+// entryLifetime is how long the entry of a crashed worker stays in the list: three heartbeats.
 const entryLifetime = 4500 * time.Millisecond
 
-// crashing has tasks of the jobs given crash their workers so long after their start.
+// enableCrashes makes the tasks of jobs crash their workers the given times after their start.
 func (sim *simulation) enableCrashes(after map[workload.JobID]time.Duration, back time.Duration) {
 	sim.crashes = crashModel{
 		crashAfter: after, restartDelay: back, locations: map[string]location{}, successors: map[string]string{},
@@ -50,7 +50,7 @@
 	}
 }
 
-// place is where a worker is; the rack given is that of one that nobody has placed.
+// location returns a worker's address and rack: by default its id and the given rack.
 func (m *crashModel) location(id, rack string) (string, string) {
 	if at, ok := m.locations[id]; ok {
 		return at.address, at.rack
@@ -58,35 +58,36 @@
 	return id, rack
 }
 
-// lingers tells whether the entry of a dead worker is still in the list.
+// isListed reports whether the entry of a crashed worker is still in the list.
 func (m *crashModel) isListed(id string, now time.Time) bool { return now.Before(m.entryExpiresAt[id]) }
 
-// answer is what a call to a dead worker gets, and after what time.
-func (l *crashModel) callResult(id string) (control.Verdict, time.Duration) {
+// callResult returns the result of a call to a crashed worker, and the time that it takes.
+func (m *crashModel) callResult(id string) (control.Verdict, time.Duration) {
 	switch {
-	case l.successors[id] != "":
+	case m.successors[id] != "":
 		return control.Gone, 5 * time.Millisecond
-	case !l.entryExpiresAt[id].IsZero():
-		// Its address refuses connections; a call under way is broken off.
+	case !m.entryExpiresAt[id].IsZero():
+		// Its address refuses connections, and a call in flight is aborted.
 		return control.Unanswered, 5 * time.Millisecond
 	}
 	return control.Unanswered, orderTimeout
 }
 
-// crashed lets another life come at the address of a worker that a task has crashed.
+// onCrash starts another worker at the address of one that a task has crashed, after the restart
+// delay.
 func (sim *simulation) onCrash(id string, by workload.TaskID, _ time.Time) {
 	sim.crashes.crashCount[by]++
 	sim.crashes.entryExpiresAt[id] = sim.now.Add(entryLifetime)
 	address, rack := sim.crashes.location(id, "")
 	sim.schedule(sim.crashes.restartDelay, func() {
-		follower := fmt.Sprintf("%s-%d", address, len(sim.fleet.Workers))
-		sim.crashes.successors[id] = follower
-		sim.crashes.locations[follower] = location{address, rack}
-		sim.fleet.Add(follower, sim.fleet.Workers[id].Capacity, 0.99, sim.now)
+		successor := fmt.Sprintf("%s-%d", address, len(sim.fleet.Workers))
+		sim.crashes.successors[id] = successor
+		sim.crashes.locations[successor] = location{address, rack}
+		sim.fleet.Add(successor, sim.fleet.Workers[id].Capacity, 0.99, sim.now)
 	})
 }
 
-// mostMore is how often a task may be started after it has crashed three workers.
+// maxStartsAfterLimit is how often a task may be started after it has crashed crashLimit workers.
 const crashLimit, maxStartsAfterLimit = 3, 2
 
 func (sim *simulation) checkStartAfterCrashes(id workload.TaskID) {
@@ -95,15 +96,15 @@
 	}
 	sim.crashes.startsAfterLimit[id]++
 	if sim.crashes.startsAfterLimit[id] > maxStartsAfterLimit {
-		sim.violation("%v is started %d times more after %d workers have crashed under it", id, sim.crashes.startsAfterLimit[id], crashLimit)
+		sim.violation("%v was started %d times after %d workers had crashed under it", id, sim.crashes.startsAfterLimit[id], crashLimit)
 	}
 }
 
-// crashAfters are how soon after its start a task crashes its worker: at once, in the
-// course of its work, and later than most tasks take.
+// crashDelays are the times from a task's start until it crashes its worker: at once, while it is
+// running, and later than most tasks end.
 var crashDelays = []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond}
 
-// newCrashWorld is a world in which one job of seven has tasks that crash their workers.
+// newCrashSimulation returns a simulation in which the tasks of one job in seven crash their workers.
 func newCrashSimulation(seed int64) *simulation {
 	sim := newSimulation(seed, true)
 	after := map[workload.JobID]time.Duration{}
@@ -116,18 +117,19 @@
 	return sim
 }
 
-// newCrowdedCrashWorld is a world of three workers in which one job of three has tasks that crash
-// their workers, so that other jobs can't be kept apart from them. With gangs those jobs are gangs.
+// newCrowdedCrashSimulation returns a simulation of three workers in which the tasks of one job in
+// three crash their workers, so that other jobs can't be kept away from them. If gangs is set, these
+// jobs have only gangs.
 func newCrowdedCrashSimulation(seed int64, gangs bool) *simulation {
 	sim := newSimulation(seed, true)
 	for i := 3; i < 6; i++ {
 		delete(sim.fleet.Workers, fmt.Sprintf("w%d", i))
 	}
 	after := map[workload.JobID]time.Duration{}
-	guilty := rand.New(rand.NewSource(seed))
+	crashRNG := rand.New(rand.NewSource(seed))
 	for i := range simSteps {
-		if guilty.Intn(3) == 0 {
-			after[simJobID(i)] = crashDelays[guilty.Intn(len(crashDelays))]
+		if crashRNG.Intn(3) == 0 {
+			after[simJobID(i)] = crashDelays[crashRNG.Intn(len(crashDelays))]
 		}
 	}
 	sim.enableCrashes(after, time.Duration(500+sim.rng.Intn(3500))*time.Millisecond)
@@ -135,8 +137,8 @@
 	return sim
 }
 
-// innocent lists the jobs that were given up although they crash nothing and none of
-// their tasks has failed as often as it may.
+// wronglyFailedJobs returns the jobs that failed although they don't crash any workers and none of
+// their tasks has reached the maximum number of failures.
 func (sim *simulation) wronglyFailedJobs() []string {
 	var out []string
 	for _, id := range sim.jobIDs {
@@ -149,9 +151,10 @@
 	return out
 }
 
-// mostFails is how often a task of the job has failed, or all of a gang together.
+// maxFailures returns the highest number of failures of one of the job's tasks, where the failures
+// of all members of a gang are added up.
 func (sim *simulation) maxFailures(id workload.JobID) int {
-	most, gangs := 0, map[int]int{}
+	highest, gangs := 0, map[int]int{}
 	for task, n := range sim.failures {
 		if task.Job != id {
 			continue
@@ -160,7 +163,7 @@
 			gangs[task.Step] += n
 			n = gangs[task.Step]
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
--- a/workload/control/crashes_test.go
+++ b/workload/control/crashes_test.go
@@ -11,25 +11,20 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// Some quotes of one task each ended the life of every worker that started them, 10 ms after
-// the start. The planner saw each loss for what it was, since another life answered at the
-// worker's address some 3.4 s later, but it took the run for one that had merely been out of
-// reach: nothing was counted, nothing was recorded, and the task began anew in the same round,
-// beside whatever else had been lost with it. So it went on until the end of the day, past
-// three planners: 21 and 27 starts, a worker lost with each, and two tasks of a job that had
-// nothing to do with it were taken along four times.
-//
-// What settled it, one planner's log, without the names:
+// These tests guard against a task that crashes one worker after the other without end. Jobs of one
+// task crashed every worker that started them, 10 ms after the start. The planner noticed each loss,
+// since another incarnation answered at the worker's address some 3.4 s later, but counted only ends
+// that a worker reports as failed. So it restarted the task in the same round, past three planners:
+// 21 and 27 starts with a worker lost at each, and two tasks of another job were lost with them four
+// times:
 //
 //	40.6274 run-lost run=1 why=another-life  40.6274 unit-started 0:2@... waited_ms=0
 //	44.1295 run-lost run=2 why=another-life  44.1296 unit-started 0:3@...
 //	47.6378 run-lost run=3 why=another-life  47.6378 unit-started 0:4@...
 //	50.9369 run-lost run=4 why=another-life  50.9369 unit-started 0:5@...
-//
-// and no job-failed among them: only ends that a worker lists as failed were counted.
 
-// crashScene has twelve workers in four racks, work for a third of them that comes all the
-// while, and three jobs of one task that crash their workers.
+// newCrashScenario returns a scenario with twelve workers, and enables crashes for three jobs whose
+// tasks crash their workers the given time after their start.
 func newCrashScenario(after time.Duration) *scenario {
 	s := newScenario()
 	for i := 6; i < 12; i++ {
@@ -39,118 +34,121 @@
 	return s
 }
 
+// crashingJob returns the id of the i-th job whose task crashes its workers.
 func crashingJob(i int) workload.JobID { return workload.JobID(fmt.Sprintf("c%015x", i)) }
 
-// playCrashes lets a job of four tasks come each 400 ms for a time, and a planner follow
-// another each so often; 0 is never.
-func (s *scenario) runCrashes(lasts, succession time.Duration) (innocent []workload.JobID) {
-	began := s.now
-	succeeded := s.now
-	for i := 0; s.now.Sub(began) < lasts; i++ {
-		innocent = append(innocent, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(2), EstimateMS: 400}))
+// runCrashes adds a harmless job of four tasks every 400 ms for the duration, and the three crashing
+// jobs at the start of it. It replaces the planner at the interval; 0 is never. It returns the
+// harmless jobs.
+func (s *scenario) runCrashes(duration, plannerInterval time.Duration) (harmless []workload.JobID) {
+	startedAt := s.now
+	plannerStartedAt := s.now
+	for i := 0; s.now.Sub(startedAt) < duration; i++ {
+		harmless = append(harmless, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(2), EstimateMS: 400}))
 		if i%5 == 0 && i < 15 {
 			s.add(crashingJob(i/5), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: 400})
 		}
 		s.advance(400 * time.Millisecond)
-		if succession > 0 && s.now.Sub(succeeded) > succession {
-			succeeded = s.now
+		if plannerInterval > 0 && s.now.Sub(plannerStartedAt) > plannerInterval {
+			plannerStartedAt = s.now
 			s.startPlanner(nil)
 		}
 	}
 	s.advance(30 * time.Second)
-	return innocent
+	return harmless
 }
 
-func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
-	for name, succession := range map[string]time.Duration{"one planner": 0, "planner after planner": 5 * time.Second} {
+func TestJobWhoseTaskCrashesWorkersFails(t *testing.T) {
+	for name, plannerInterval := range map[string]time.Duration{"one planner": 0, "a new planner every 5 s": 5 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			s := newCrashScenario(10 * time.Millisecond)
-			innocent := s.runCrashes(40*time.Second, succession)
+			harmless := s.runCrashes(40*time.Second, plannerInterval)
 			s.check(t)
 			for i := range 3 {
 				if state := s.jobState(crashingJob(i)); state != workload.Failed {
-					t.Errorf("a job whose task crashed %d workers is %s", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
+					t.Errorf("a job whose task crashed %d workers is %s, want failed", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
 				}
 			}
-			for _, id := range innocent {
+			for _, id := range harmless {
 				if state := s.jobState(id); state != workload.Completed {
-					t.Errorf("job %s, whose tasks crash nothing, is %s", id, state)
+					t.Errorf("harmless job %s is %s, want completed", id, state)
 				}
 			}
 		})
 	}
 }
 
-// crashWorlds plays worlds at once, and tells of each what was wrong.
-func crashSimulations(t *testing.T, seeds []int64) (crashes int) {
+// runCrashSimulations runs simulations in parallel, reports their violations and wrongly failed
+// jobs as errors, and returns the number of crashes.
+func runCrashSimulations(t *testing.T, seeds []int64) (crashes int) {
 	t.Helper()
-	worlds := make([]*simulation, len(seeds))
+	sims := make([]*simulation, len(seeds))
 	var group sync.WaitGroup
-	room := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, seed := range seeds {
 		group.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			worlds[i] = newCrashSimulation(seed)
-			worlds[i].run(nil)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			sims[i] = newCrashSimulation(seed)
+			sims[i].run(nil)
 		})
 	}
 	group.Wait()
-	for i, w := range worlds {
-		for _, n := range w.crashes.crashCount {
+	for i, sim := range sims {
+		for _, n := range sim.crashes.crashCount {
 			crashes += n
 		}
-		if len(w.violations) > 0 {
-			t.Errorf("seed %d: %v", seeds[i], w.violations)
+		if len(sim.violations) > 0 {
+			t.Errorf("seed %d: %v", seeds[i], sim.violations)
 		}
-		if innocent := w.wronglyFailedJobs(); len(innocent) > 0 {
-			t.Errorf("seed %d: given up though innocent: %v", seeds[i], innocent)
+		if wronglyFailed := sim.wronglyFailedJobs(); len(wronglyFailed) > 0 {
+			t.Errorf("seed %d: wrongly failed jobs: %v", seeds[i], wronglyFailed)
 		}
 	}
 	return crashes
 }
 
-// Beside every other trouble of the worlds a task that crashes its workers is started no
-// more often than that, and no innocent job is given up for what crashed beside it.
-// CRASH_WORLDS=6000 plays so many in place of those that CI does, from the seed CRASH_FROM on.
-func TestCrashesAreBoundedUnderRandomFaults(t *testing.T) {
-	worlds, from := 150, int64(0)
+// With all other simulated faults, a task that crashes its workers must not be started more often
+// than allowed, and no job may fail for the crashes of another. CRASH_WORLDS=6000 runs 6,000
+// simulations instead of the 150 that CI runs, with the seeds from CRASH_FROM.
+func TestStartsOfCrashingTasksAreBoundedUnderRandomFaults(t *testing.T) {
+	count, from := 150, int64(0)
 	if testing.Short() {
-		worlds = 20
+		count = 20
 	}
-	if asked := os.Getenv("CRASH_WORLDS"); asked != "" {
-		if _, err := fmt.Sscan(asked, &worlds); err != nil {
+	if value := os.Getenv("CRASH_WORLDS"); value != "" {
+		if _, err := fmt.Sscan(value, &count); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if asked := os.Getenv("CRASH_FROM"); asked != "" {
-		if _, err := fmt.Sscan(asked, &from); err != nil {
+	if value := os.Getenv("CRASH_FROM"); value != "" {
+		if _, err := fmt.Sscan(value, &from); err != nil {
 			t.Fatal(err)
 		}
 	}
-	seeds := make([]int64, worlds)
+	seeds := make([]int64, count)
 	for i := range seeds {
 		seeds[i] = from + int64(i)
 	}
-	t.Logf("%d worlds, %d crashes", worlds, crashSimulations(t, seeds))
+	t.Logf("%d simulations, %d crashes", count, runCrashSimulations(t, seeds))
 }
 
-// Two gangs whose members crash their workers were started without a bound, once in 3,000
-// worlds and once in 6,000. In the one no member came to more than three crashes of its own,
-// since each run ended with the crash of one member, and the others' runs were not counted. In
-// the other a member that waited for its gang for 0.7 s was taken for at work, and cleared.
-func TestGangsThatCrashTheirWorkersAreBounded(t *testing.T) {
-	crashSimulations(t, []int64{2666, 5958})
+// Guards against gangs that crash their workers and are started without limit, as seen once in 3,000
+// simulations and once in 6,000. In the first, no member had more than three crashes of its own,
+// since each run ended with the crash of one member, and the runs of the others were not counted. In
+// the second, a member that waited for its gang for 0.7 s counted as running, and was cleared.
+func TestStartsOfCrashingGangsAreBounded(t *testing.T) {
+	runCrashSimulations(t, []int64{2666, 5958})
 }
 
-// Guards against a task that crashes its workers being cleared since the time of a run that an
-// earlier planner had ordered was counted from when it was taken over.
-func TestRunsThatWereTakenOverClearNoTaskTooEarly(t *testing.T) {
-	crashSimulations(t, []int64{2462, 2657})
+// Guards against clearing a task that crashes its workers because the run time of an adopted run was
+// counted from its adoption.
+func TestAdoptedRunsDoNotClearCrashesTooEarly(t *testing.T) {
+	runCrashSimulations(t, []int64{2462, 2657})
 }
 
-// Guards against tasks that crash workers of a small pool being started beyond their bound since
-// the crashes of other jobs' tasks are taken for an outage.
-func TestTasksThatCrashASmallPoolTogetherAreBounded(t *testing.T) {
-	crashSimulations(t, []int64{173, 180, 2201, 284, 700, 1815, 2730, 3664})
+// Guards against starting tasks that crash workers of a small pool more often than allowed because
+// the crashes caused by other jobs were taken for an outage.
+func TestStartsOfCrashingTasksAreBoundedInSmallPool(t *testing.T) {
+	runCrashSimulations(t, []int64{173, 180, 2201, 284, 700, 1815, 2730, 3664})
 }
--- a/workload/control/cut_off_drain_test.go
+++ b/workload/control/cut_off_drain_test.go
@@ -8,31 +8,31 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// cutOffDrains are troubles in which a worker that drains runs on although its entry goes and it
+// drainFaults are faults in which a draining worker runs on although its entry disappears and it
 // does not answer.
-var cutOffDrains = map[string]func(s *scenario, id string){
-	"from all at once": func(s *scenario, id string) { s.cutOff(id, 10*time.Second, 10*time.Second) },
-	"from the store, then from planners": func(s *scenario, id string) {
+var drainFaults = map[string]func(s *scenario, id string){
+	"cut off from everything at once": func(s *scenario, id string) { s.cutOff(id, 10*time.Second, 10*time.Second) },
+	"cut off from the store, then from planners": func(s *scenario, id string) {
 		s.cutOff(id, 10*time.Second, 0)
 		s.advance(3 * time.Second)
 		s.cutOff(id, 10*time.Second, 10*time.Second)
 	},
-	"from planners, then from the store": func(s *scenario, id string) {
+	"cut off from planners, then from the store": func(s *scenario, id string) {
 		s.cutOff(id, 0, 10*time.Second)
 		s.advance(time.Second)
 		s.cutOff(id, 10*time.Second, 10*time.Second)
 	},
-	"its entry expires while the store is down": func(s *scenario, id string) {
+	"entry expires while the store is down": func(s *scenario, id string) {
 		s.takeStoreDown(5 * time.Second)
 		s.advance(2500 * time.Millisecond)
 		s.cutOff(id, 10*time.Second, 10*time.Second)
 	},
-	"the store loses its entries as it goes down": func(s *scenario, id string) {
+	"store loses its entries when it goes down": func(s *scenario, id string) {
 		s.registry.losesEntries = true
 		s.cutOff(id, 10*time.Second, 10*time.Second)
 		s.takeStoreDown(time.Second)
 	},
-	"the list is read later before it than after": func(s *scenario, id string) {
+	"list is read later before the fault than after it": func(s *scenario, id string) {
 		s.registry.readLag = 3 * time.Second
 		s.advance(3 * time.Second)
 		s.cutOff(id, 10*time.Second, 10*time.Second)
@@ -41,9 +41,9 @@
 	},
 }
 
-// playDrain begins a long run, has its worker drain and what else happens, and passes the time
-// until its lease is over.
-func playDrain(m mutant, trouble func(s *scenario, id string)) (s *scenario, id string, since time.Time) {
+// runDrain starts a long run, has its worker drain, injects a fault and advances the time until the
+// worker's lease has expired. It returns the worker and the time of the fault.
+func runDrain(m mutant, fault func(s *scenario, id string)) (s *scenario, id string, since time.Time) {
 	s = newScenario()
 	s.mutant = m
 	s.registry = newRegistry()
@@ -57,62 +57,63 @@
 	s.drainRemainingMS[id] = 60_000
 	s.advance(2 * time.Second)
 	since = s.now
-	trouble(s, id)
+	fault(s, id)
 	s.advance(9*time.Second - s.now.Sub(since))
 	return s, id, since
 }
 
-// Guards against a task that runs twice since its worker, which drains and is cut off, is taken for
-// one that has left.
-func TestADrainingWorkerThatIsOnlyCutOffIsNotTakenForGone(t *testing.T) {
-	for name, trouble := range cutOffDrains {
+// Guards against a task that runs twice because its worker, which is draining and unreachable, is
+// taken for departed.
+func TestUnreachableDrainingWorkerIsNotTakenForDeparted(t *testing.T) {
+	for name, fault := range drainFaults {
 		t.Run(name, func(t *testing.T) {
-			s, id, _ := playDrain(mutant{}, trouble)
+			s, id, _ := runDrain(mutant{}, fault)
 			s.check(t)
-			for _, l := range s.registry.history[0].list {
-				if l.ID == id {
-					t.Error("its entry is still listed")
+			for _, entry := range s.registry.history[0].list {
+				if entry.ID == id {
+					t.Error("the worker's entry is still listed")
 				}
 			}
 		})
 	}
 }
 
-func TestMutantsThatTakeACutOffWorkerForGoneAreCaught(t *testing.T) {
+func TestMutantsThatTakeUnreachableWorkerForDepartedAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		m     mutant
-		scene string
+		fault string
 	}{
-		"each removal is a departure":            {mutant{heartbeatFactor: 1000}, "from all at once"},
-		"answers show that the worker is heard":  {mutant{heartbeatFactor: 1000}, "from the store, then from planners"},
-		"entries expire later than believed":     {mutant{heartbeatFactor: 2}, "from all at once"},
-		"entries are dated by their reading":     {mutant{datedByRead: true}, "the list is read later before it than after"},
-		"removals while the store is down count": {mutant{hiddenGaps: true}, "the store loses its entries as it goes down"},
+		"each removal counts as a departure":                     {mutant{heartbeatFactor: 1000}, "cut off from everything at once"},
+		"each removal counts as a departure, reachable at first": {mutant{heartbeatFactor: 1000}, "cut off from the store, then from planners"},
+		"entries expire later than assumed":                      {mutant{heartbeatFactor: 2}, "cut off from everything at once"},
+		"entries are dated by when they are read":                {mutant{datedByRead: true}, "list is read later before the fault than after it"},
+		"removals while the store is down count":                 {mutant{hiddenGaps: true}, "store loses its entries when it goes down"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, _, _ := playDrain(c.m, cutOffDrains[c.scene])
+			s, _, _ := runDrain(c.m, drainFaults[c.fault])
 			if len(s.violations) == 0 {
-				t.Fatal("nothing broke")
+				t.Fatal("no violations")
 			}
 			t.Log(s.violations[0])
 		})
 	}
 }
 
-func TestAWorkerThatHasLeftIsNoticedInAListThatIsReadLate(t *testing.T) {
+// Guards against waiting for a departed worker's lease when the list is read late.
+func TestDepartureIsNoticedInDelayedList(t *testing.T) {
 	for _, lag := range []time.Duration{0, 800 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(lag.String(), func(t *testing.T) {
-			s, _, left := playDrain(mutant{}, func(s *scenario, id string) {
+			s, _, leftAt := runDrain(mutant{}, func(s *scenario, id string) {
 				s.registry.readLag = lag
 				s.departAsPlanned(id)
 			})
 			s.check(t)
 			starts := s.starts(jobA)
 			if len(starts) != 2 {
-				t.Fatalf("%d starts", len(starts))
+				t.Fatalf("%d starts, want 2", len(starts))
 			}
-			if took := starts[1].At.Sub(left); took > forgottenAfter {
-				t.Fatalf("its run begins again after %v", took)
+			if took := starts[1].At.Sub(leftAt); took > maxIdleTime {
+				t.Fatalf("the run was restarted only after %v", took)
 			}
 		})
 	}
--- a/workload/control/departures_test.go
+++ b/workload/control/departures_test.go
@@ -10,42 +10,44 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// mostDepartures is the most workers that drain in the course of a world, mostOutages the most
-// outages of its store.
-const mostDepartures, mostOutages = 8, 3
+// maxDepartures is the maximum number of workers that drain in a simulation, maxStoreOutages the
+// maximum number of outages of its store.
+const maxDepartures, maxStoreOutages = 8, 3
 
-// moreWorkers are added, so that there is room beside those that leave.
-const moreWorkers = 4
+// extraWorkers is the number of additional workers, so that there is capacity besides those that
+// leave.
+const extraWorkers = 4
 
-// lags are by how much the list is read late; they change so often in the course of a world.
-var lags = []time.Duration{0, 100 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second}
+// readLags are the delays with which the list is read, one at a time; readLagChanges is how often
+// the delay changes in a simulation.
+var readLags = []time.Duration{0, 100 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second}
 
-const lagChanges = 20
+const readLagChanges = 20
 
-// newDepartureWorld is a world whose workers drain and then leave, crash, or are cut off and run
-// on; its list is read late, and its store is down at times.
+// newDepartureSimulation returns a simulation whose workers drain and then leave, crash, or are cut
+// off and run on. The list is read late, and the store has outages.
 func newDepartureSimulation(seed int64, faulty bool) *simulation {
 	sim := newSimulation(seed, faulty)
 	sim.registry = newRegistry()
 	sim.registry.losesEntries = sim.rng.Intn(2) == 0
 	sim.drainRemainingMS = map[string]int64{}
 	sim.fleet.Work = sim.longWork
-	for range moreWorkers {
+	for range extraWorkers {
 		sim.addWorker()
 	}
-	for range 1 + sim.rng.Intn(mostDepartures) {
+	for range 1 + sim.rng.Intn(maxDepartures) {
 		sim.schedule(time.Duration(sim.rng.Intn(int(faultPeriod))), sim.drainWorker)
 	}
-	for range sim.rng.Intn(mostOutages + 1) {
+	for range sim.rng.Intn(maxStoreOutages + 1) {
 		sim.schedule(time.Duration(sim.rng.Intn(int(faultPeriod))), sim.storeOutage)
 	}
-	for range lagChanges {
-		sim.schedule(time.Duration(sim.rng.Intn(int(faultPeriod))), func() { sim.registry.readLag = lags[sim.rng.Intn(len(lags))] })
+	for range readLagChanges {
+		sim.schedule(time.Duration(sim.rng.Intn(int(faultPeriod))), func() { sim.registry.readLag = readLags[sim.rng.Intn(len(readLags))] })
 	}
 	return sim
 }
 
-// outage takes the store down for a while; some of the workers that drain are cut off with it.
+// storeOutage takes the store down for a while, and cuts off some of the draining workers.
 func (sim *simulation) storeOutage() {
 	sim.takeStoreDown(sim.randomDuration(500, 6000))
 	for _, id := range sortedIDs(sim.fleet.Workers) {
@@ -55,7 +57,8 @@
 	}
 }
 
-// longWork takes far longer than its step expects; a third of it outlasts leases.
+// longWork returns work that takes far longer than the step's estimate. A third of it lasts longer
+// than a lease.
 func (sim *simulation) longWork(id workload.TaskID, run int64, worker string) workertest.Work {
 	work := sim.randomWork(id, run, worker)
 	work.Takes *= 3
@@ -65,13 +68,13 @@
 	return work
 }
 
-// within draws a time between two bounds in milliseconds.
-func (sim *simulation) randomDuration(least, most int) time.Duration {
-	return time.Duration(least+sim.rng.Intn(most-least)) * time.Millisecond
+// randomDuration returns a random duration between two bounds in milliseconds.
+func (sim *simulation) randomDuration(minMS, maxMS int) time.Duration {
+	return time.Duration(minMS+sim.rng.Intn(maxMS-minMS)) * time.Millisecond
 }
 
-// depart has a worker drain, and then leave, crash, or be cut off from the store, the planners or
-// both, at times of their own.
+// drainWorker has a random worker drain and then leave, crash, or be cut off from the store and the
+// planners at random times.
 func (sim *simulation) drainWorker() {
 	id := sim.randomWorker()
 	if sim.fleet.Workers[id].Dead || sim.drainRemainingMS[id] > 0 {
@@ -79,7 +82,7 @@
 	}
 	sim.drainRemainingMS[id] = sim.randomDuration(10_000, 30_000).Milliseconds()
 	if sim.rng.Intn(2) == 0 {
-		// It says so at once.
+		// Its entry shows that it drains at once.
 		sim.registry.nextHeartbeat[id] = sim.now
 	}
 	switch sim.rng.Intn(4) {
@@ -94,56 +97,57 @@
 	}
 }
 
-// Beside cuts, outages of the store and late reading a task of a worker that drains runs once at a
-// time. DEPARTURE_WORLDS=2000 plays so many in place of those that CI does.
-func TestDeparturesBreakNothing(t *testing.T) {
-	worlds := 16
+// A task on a draining worker must not run twice at the same time if workers are cut off, the store
+// has outages and the list is read late. DEPARTURE_WORLDS=2000 runs 2,000 simulations of each kind
+// instead of the 16 that CI runs.
+func TestTasksRunOnceWhenWorkersDrainAndLeave(t *testing.T) {
+	count := 16
 	if testing.Short() {
-		worlds = 10
+		count = 10
 	}
-	if asked := os.Getenv("DEPARTURE_WORLDS"); asked != "" {
-		if _, err := fmt.Sscan(asked, &worlds); err != nil {
+	if value := os.Getenv("DEPARTURE_WORLDS"); value != "" {
+		if _, err := fmt.Sscan(value, &count); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for name, faulty := range map[string]bool{"with no other trouble": false, "beside other troubles": true} {
+	for name, faulty := range map[string]bool{"without other faults": false, "with other faults": true} {
 		t.Run(name, func(t *testing.T) {
-			played := make([]*simulation, worlds)
-			broken := simulationViolations(worlds, func(seed int64) *simulation {
-				played[seed] = newDepartureSimulation(seed, faulty)
-				return played[seed]
+			sims := make([]*simulation, count)
+			violations := simulationViolations(count, func(seed int64) *simulation {
+				sims[seed] = newDepartureSimulation(seed, faulty)
+				return sims[seed]
 			})
-			if len(broken) > 0 {
-				t.Fatalf("%d of %d worlds broke: %v", len(broken), worlds, broken[:min(len(broken), 5)])
+			if len(violations) > 0 {
+				t.Fatalf("%d of %d simulations have violations: %v", len(violations), count, violations[:min(len(violations), 5)])
 			}
-			left := 0
-			for _, w := range played {
-				left += w.departures
+			departures := 0
+			for _, sim := range sims {
+				departures += sim.departures
 			}
-			if left == 0 {
-				t.Fatal("no worker was found to have left")
+			if departures == 0 {
+				t.Fatal("no departure was detected")
 			}
-			t.Logf("%d workers were found to have left in %d worlds", left, worlds)
+			t.Logf("%d departures were detected in %d simulations", departures, count)
 		})
 	}
 }
 
-func TestMutantsOfDeparturesAreCaught(t *testing.T) {
+func TestDepartureMutantsAreDetected(t *testing.T) {
 	for name, m := range map[string]mutant{
-		"each removal is a departure":        {heartbeatFactor: 1000},
-		"entries expire later than believed": {heartbeatFactor: 2},
+		"each removal counts as a departure": {heartbeatFactor: 1000},
+		"entries expire later than assumed":  {heartbeatFactor: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range mutantSeeds {
-				w := newDepartureSimulation(int64(seed), true)
-				w.mutant = m
-				w.run(nil)
-				if len(w.violations) > 0 {
-					t.Logf("caught at seed %d: %s", seed, w.violations[0])
+				sim := newDepartureSimulation(int64(seed), true)
+				sim.mutant = m
+				sim.run(nil)
+				if len(sim.violations) > 0 {
+					t.Logf("detected at seed %d: %s", seed, sim.violations[0])
 					return
 				}
 			}
-			t.Fatalf("not caught in %d worlds", mutantSeeds)
+			t.Fatalf("not detected in %d simulations", mutantSeeds)
 		})
 	}
 }
--- a/workload/control/evacuation_test.go
+++ b/workload/control/evacuation_test.go
@@ -10,20 +10,20 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// centres is a planner over workers of 8 accelerators, two in each of two data centres.
-type centres struct {
+// evacuationScenario is a planner with workers of 8 accelerators, two in each of two data centres.
+type evacuationScenario struct {
 	*control.Core
 	now  time.Time
 	list []control.Listing
 }
 
-func newCentres(t *testing.T, change func(*control.Bounds)) *centres {
+func newEvacuationScenario(t *testing.T, change func(*control.Bounds)) *evacuationScenario {
 	t.Helper()
 	bounds := simBounds
 	if change != nil {
 		change(&bounds)
 	}
-	c := &centres{now: time.Unix(1000, 0)}
+	c := &evacuationScenario{now: time.Unix(1000, 0)}
 	c.Core = control.New(bounds, 1, c.now)
 	c.Configure(control.Configuration{Version: 1})
 	for _, id := range []string{"a0", "a1", "b0", "b1"} {
@@ -32,30 +32,30 @@
 			Capacity: workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8},
 		})
 	}
-	c.meet()
+	c.contactWorkers()
 	return c
 }
 
-func (c *centres) meet() {
+func (c *evacuationScenario) contactWorkers() {
 	c.List(c.list, c.now)
 	for _, l := range c.list {
 		c.Held(control.HoldOrder{Worker: l.ID, Token: 1}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 1000}, c.now, c.now)
 	}
 }
 
-func (c *centres) submit(id workload.JobID, step workload.Step) {
+func (c *evacuationScenario) submit(id workload.JobID, step workload.Step) {
 	c.Adopt(id, workload.Entry{Job: &workload.Job{ID: id, Steps: []workload.Step{step}, Terms: workload.Terms{Priority: 1, Attempts: 3, Stretch: 3}}})
 }
 
-// decide makes a round and returns the records that it wants written.
-func (c *centres) decide() []control.Record {
+// runRound runs one round and returns the records to write.
+func (c *evacuationScenario) runRound() []control.Record {
 	c.Round(c.now, c.now.UnixMilli())
 	return c.Changes()
 }
 
-// starts makes a round and returns the workers that are given tasks.
-func (c *centres) starts() []string {
-	c.decide()
+// startedOn runs one round and returns the workers on which it starts tasks.
+func (c *evacuationScenario) startedOn() []string {
+	c.runRound()
 	return workersOf(c.Persisted(c.now))
 }
 
@@ -68,9 +68,9 @@
 	return out
 }
 
-func (c *centres) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *evacuationScenario) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-func (c *centres) noted(event string) string {
+func (c *evacuationScenario) eventDetail(event string) string {
 	for _, n := range c.Notes() {
 		if n.Event == event {
 			return n.Detail
@@ -79,301 +79,310 @@
 	return ""
 }
 
-var whole = workload.Step{Count: 4, Need: need(8)}
+var fullWorkerStep = workload.Step{Count: 4, Need: need(8)}
 
-func TestAnEvacuatedDataCentreGetsNothingNewUntilItIsTakenBack(t *testing.T) {
-	c := newCentres(t, nil)
+func TestEvacuatedCentreGetsNoStartsUntilRevoked(t *testing.T) {
+	c := newEvacuationScenario(t, nil)
 	c.Evacuate([]string{"a"}, c.now)
-	if got := c.noted(control.EventEvacuationBegins); got != "centre=a runs=0" {
-		t.Fatalf("noted as %q", got)
+	if got := c.eventDetail(control.EventEvacuationBegins); got != "centre=a runs=0" {
+		t.Fatalf("event detail: %q", got)
 	}
-	c.submit(jobA, whole)
-	if got := c.starts(); !slices.Equal(got, []string{"b0", "b1"}) {
+	c.submit(jobA, fullWorkerStep)
+	if got := c.startedOn(); !slices.Equal(got, []string{"b0", "b1"}) {
 		t.Fatalf("started on %v", got)
 	}
 	if left := c.Evacuated(c.now); left != (control.Evacuated{Centres: 1}) {
-		t.Fatalf("left: %+v", left)
+		t.Fatalf("remaining work: %+v", left)
 	}
-	if c.noted(control.EventEvacuationEmpty) == "" {
-		t.Fatal("an empty data centre is not noted")
+	if c.eventDetail(control.EventEvacuationEmpty) == "" {
+		t.Fatal("no event for an empty data centre")
 	}
-	c.pass(time.Second)
+	c.advance(time.Second)
 	c.Evacuate(nil, c.now)
-	if got := c.noted(control.EventEvacuationEnds); got != "centre=a runs=0 lasted_ms=1000" {
-		t.Fatalf("noted as %q", got)
+	if got := c.eventDetail(control.EventEvacuationEnds); got != "centre=a runs=0 lasted_ms=1000" {
+		t.Fatalf("event detail: %q", got)
 	}
-	if got := c.starts(); !slices.Equal(got, []string{"a0", "a1"}) {
-		t.Fatalf("after it was taken back: started on %v", got)
+	if got := c.startedOn(); !slices.Equal(got, []string{"a0", "a1"}) {
+		t.Fatalf("after the evacuation was revoked: started on %v", got)
 	}
 }
 
-func TestWhatRunsInAnEvacuatedDataCentreGoesOn(t *testing.T) {
-	c := newCentres(t, nil)
-	c.submit(jobA, whole)
-	if got := c.starts(); len(got) != 4 {
+func TestEvacuationKeepsRunningTasks(t *testing.T) {
+	c := newEvacuationScenario(t, nil)
+	c.submit(jobA, fullWorkerStep)
+	if got := c.startedOn(); len(got) != 4 {
 		t.Fatalf("started on %v", got)
 	}
 	c.Evacuate([]string{"a"}, c.now)
-	c.pass(time.Second)
-	c.decide()
+	c.advance(time.Second)
+	c.runRound()
 	if stops := c.Stops(); len(stops) != 0 {
 		t.Fatalf("stopped: %+v", stops)
 	}
 	if left := c.Evacuated(c.now); left.Runs != 2 {
-		t.Fatalf("left: %+v", left)
+		t.Fatalf("remaining work: %+v", left)
 	}
 	if ids := c.NeedsHold(c.now); !slices.Contains(ids, "a0") || !slices.Contains(ids, "a1") {
-		t.Fatalf("only %v are held on", ids)
+		t.Fatalf("leases are renewed on %v only", ids)
 	}
 }
 
-// A write may take seconds, and the request may be read meanwhile. So may a drain, and
-// an entry that has become unreadable.
-func TestAStartThatWasDecidedBeforeItsWorkerWasRemovedIsTakenBack(t *testing.T) {
-	for name, remove := range map[string]func(*centres){
-		"evacuated":  func(c *centres) { c.Evacuate([]string{"a"}, c.now) },
-		"draining":   func(c *centres) { c.list[0].Draining, c.list[1].Draining = true, true; c.List(c.list, c.now) },
-		"unreadable": func(c *centres) { c.list[0].Unreadable, c.list[1].Unreadable = true, true; c.List(c.list, c.now) },
+// A log write may take seconds. If a worker's data centre is evacuated in the meantime, or the
+// worker drains or its entry becomes unreadable, the pending start must not be sent.
+func TestPlannedStartIsWithdrawnWhenWorkerCloses(t *testing.T) {
+	for name, closeWorkers := range map[string]func(*evacuationScenario){
+		"evacuated": func(c *evacuationScenario) { c.Evacuate([]string{"a"}, c.now) },
+		"draining": func(c *evacuationScenario) {
+			c.list[0].Draining, c.list[1].Draining = true, true
+			c.List(c.list, c.now)
+		},
+		"unreadable": func(c *evacuationScenario) {
+			c.list[0].Unreadable, c.list[1].Unreadable = true, true
+			c.List(c.list, c.now)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCentres(t, nil)
-			c.submit(jobA, whole)
-			gang := whole
+			c := newEvacuationScenario(t, nil)
+			c.submit(jobA, fullWorkerStep)
+			gang := fullWorkerStep
 			gang.Gang, gang.Need = true, workload.Resources{MilliCPU: 1000}
 			c.submit(jobB, gang)
-			c.decide()
-			remove(c)
+			c.runRound()
+			closeWorkers(c)
 			for _, o := range c.Persisted(c.now) {
 				if o.Worker[0] == 'a' {
-					t.Errorf("%v is started on %s", o.Task, o.Worker)
+					t.Errorf("%v was started on %s", o.Task, o.Worker)
 				}
 				if o.Task.Job == jobB {
-					t.Errorf("member %d of a gang that is not whole is started", o.Task.Index)
+					t.Errorf("member %d of an incomplete gang was started", o.Task.Index)
 				}
 			}
-			again := 0
-			c.decide()
+			restarted := 0
+			c.runRound()
 			for _, o := range c.Persisted(c.now) {
 				if o.Worker[0] == 'a' {
-					t.Errorf("%v is started on %s in the next round", o.Task, o.Worker)
+					t.Errorf("%v was started on %s in the next round", o.Task, o.Worker)
 				}
 				if o.Task.Job == jobB {
-					again++
+					restarted++
 				}
 			}
-			if again != 4 {
-				t.Errorf("%d of 4 members are started elsewhere", again)
+			if restarted != 4 {
+				t.Errorf("%d of 4 members were started elsewhere", restarted)
 			}
 		})
 	}
 }
 
-func TestAStartWithoutAnAnswerIsNotRepeatedInAnEvacuatedDataCentre(t *testing.T) {
-	c := newCentres(t, nil)
+func TestUnansweredStartIsNotRepeatedInEvacuatedCentre(t *testing.T) {
+	c := newEvacuationScenario(t, nil)
 	c.submit(jobA, workload.Step{Count: 1, Need: need(8)})
 	c.Evacuate([]string{"b"}, c.now)
-	c.decide()
+	c.runRound()
 	order := c.Persisted(c.now)[0]
 	c.Started(order, control.Answer{Verdict: control.Unanswered}, c.now)
 	c.Evacuate([]string{"a"}, c.now)
 	for range 100 {
-		c.pass(50 * time.Millisecond)
-		if again := c.Due(c.now); len(again) > 0 {
-			t.Fatalf("repeated on %s", again[0].Worker)
+		c.advance(50 * time.Millisecond)
+		if repeated := c.Due(c.now); len(repeated) > 0 {
+			t.Fatalf("start order was repeated on %s", repeated[0].Worker)
 		}
 	}
 	if stops := c.Stops(); len(stops) == 0 || stops[0].Worker != "a0" && stops[0].Worker != "a1" {
-		t.Fatalf("its worker is not told to refuse it: %+v", stops)
+		t.Fatalf("no stop order for the unanswered start: %+v", stops)
 	}
 }
 
-// Work whose data lies in a data centre that is evacuated, or that fits into a rack
-// there alone, does not wait for it.
-func TestNothingWaitsForAnEvacuatedDataCentre(t *testing.T) {
+// Tasks whose data is in an evacuated data centre, or whose gang fits into a single rack only
+// there, must not wait for it.
+func TestDataAndRackPreferencesDoNotWaitForEvacuatedCentre(t *testing.T) {
 	for name, step := range map[string]workload.Step{
 		"data":     {Count: 1, Need: need(1), DataRack: "rack-a"},
 		"one rack": {Count: 2, Need: need(8), Gang: true, SameRack: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCentres(t, func(b *control.Bounds) { b.FarFactor = 3 })
+			c := newEvacuationScenario(t, func(b *control.Bounds) { b.FarFactor = 3 })
 			c.Evacuate([]string{"a"}, c.now)
 			c.submit(jobA, step)
-			if got := c.starts(); len(got) != step.Count || got[0][0] != 'b' {
+			if got := c.startedOn(); len(got) != step.Count || got[0][0] != 'b' {
 				t.Fatalf("started on %v", got)
 			}
 		})
 	}
 }
 
-// A cold worker is slow for a while: work whose time is short goes elsewhere, single
-// tasks behind it go there first, and it counts as warm when its time is over.
-func TestColdWorkersAreTakenForSlowOnes(t *testing.T) {
-	c := newCentres(t, nil)
+// A worker that is warming up is slow. Urgent work goes to other workers, single tasks that can
+// wait go there first, and the worker gets urgent work again once its warm-up is over.
+func TestWarmingUpWorkersGetNoUrgentWork(t *testing.T) {
+	c := newEvacuationScenario(t, nil)
 	for i := range c.list {
 		if c.list[i].DataCentre == "a" {
 			c.list[i].ColdMS = 2000
 		}
 	}
 	c.List(c.list, c.now)
-	c.pass(time.Second)
-	// Entries are read again with each change of others: the time does not begin anew.
+	c.advance(time.Second)
+	// The list is read again whenever any entry changes, which must not restart the warm-up.
 	c.List(c.list, c.now)
 	c.submit(jobA, workload.Step{Count: 1, Need: need(1)})
-	if got := c.starts(); got[0][0] != 'a' {
-		t.Fatalf("a task that can wait starts on %v", got)
+	if got := c.startedOn(); got[0][0] != 'a' {
+		t.Fatalf("a task that can wait was started on %v", got)
 	}
 	c.Adopt(jobB, workload.Entry{Job: &workload.Job{ID: jobB, Steps: []workload.Step{{Count: 2, Need: need(4), Gang: true}}, Terms: workload.Terms{Stretch: 2, TargetMS: 5000, Attempts: 1}}})
-	if got := c.starts(); len(got) != 2 || got[0][0] != 'b' || got[1][0] != 'b' {
-		t.Fatalf("urgent work starts on %v", got)
+	if got := c.startedOn(); len(got) != 2 || got[0][0] != 'b' || got[1][0] != 'b' {
+		t.Fatalf("urgent work was started on %v", got)
 	}
-	c.pass(1100 * time.Millisecond)
+	c.advance(1100 * time.Millisecond)
 	c.Adopt(jobC, workload.Entry{Job: &workload.Job{ID: jobC, Steps: []workload.Step{{Count: 1, Need: need(7), Gang: true}}, Terms: workload.Terms{Stretch: 2, TargetMS: 5000, Attempts: 1}}})
-	if got := c.starts(); len(got) != 1 || got[0][0] != 'a' {
-		t.Fatalf("after it is warm: started on %v", got)
+	if got := c.startedOn(); len(got) != 1 || got[0][0] != 'a' {
+		t.Fatalf("after the warm-up: started on %v", got)
 	}
 }
 
 const jobC = workload.JobID("00000000000000cc")
 
-// evacuating lets data centres of a world be evacuated and taken back again and again,
-// with planners that read of it late, writes that take long, and everything else that
-// disturbs a world.
-type evacuating struct {
+// evacuationSimulation is a simulation in which data centres are evacuated and the evacuations
+// revoked at random times. Planners read the requests late and log writes take long, in addition
+// to the other simulated faults.
+type evacuationSimulation struct {
 	*simulation
-	// asked is since when a data centre is evacuated; views are what was asked, by time.
-	asked map[string]time.Time
-	views []view
-	// lag is how late declarations are read, write how long a write takes.
-	lag, write time.Duration
-	mutant     evacuationMutant
+	// evacuatedAt is since when each data centre is evacuated. requests are all requests in order
+	// of time.
+	evacuatedAt map[string]time.Time
+	requests    []evacuationRequest
+	// readLag is the delay with which requests are read, writeTime the duration of a log write.
+	readLag, writeTime time.Duration
+	mutant             evacuationMutant
 }
 
-type view struct {
+// evacuationRequest is the set of data centres that are to be evacuated from a time on.
+type evacuationRequest struct {
 	at      time.Time
 	centres []string
 }
 
-// evacuationMutant breaks one of the steps that keep starts out of a data centre.
+// evacuationMutant disables one of the steps that prevent starts in an evacuated data centre.
 type evacuationMutant struct {
-	// early: what was read is not looked at again between a decision and its orders.
-	early bool
-	// blind: a successor plans before it has read the declarations.
-	blind bool
-	// newest: only the newest request counts.
-	newest bool
+	// skipsRecheck: the requests are not read again between a decision and its orders.
+	skipsRecheck bool
+	// uninformedSuccessor: a successor plans before it has read the requests.
+	uninformedSuccessor bool
+	// newestOnly: only the most recently evacuated data centre counts.
+	newestOnly bool
 }
 
 func centreOf(worker string) string { return string(worker[len(worker)-1]%2 + 'a') }
 
-// read is what a planner knows of at a time.
-func (e *evacuating) read(now time.Time) []string {
+// readCentres returns the evacuated data centres that a planner has read of at the given time.
+func (e *evacuationSimulation) readCentres(now time.Time) []string {
 	var out []string
-	for _, v := range e.views {
-		if !v.at.Add(e.lag).After(now) {
-			out = v.centres
+	for _, r := range e.requests {
+		if !r.at.Add(e.readLag).After(now) {
+			out = r.centres
 		}
 	}
-	if e.mutant.newest && len(out) > 1 {
+	if e.mutant.newestOnly && len(out) > 1 {
 		out = out[len(out)-1:]
 	}
 	return out
 }
 
-// turn evacuates a data centre, or takes it back.
-func (e *evacuating) turn() {
+// toggleEvacuation evacuates a random data centre, or revokes its evacuation.
+func (e *evacuationSimulation) toggleEvacuation() {
 	centre := string('a' + byte(e.rng.Intn(2)))
-	if _, asked := e.asked[centre]; asked {
-		delete(e.asked, centre)
+	if _, evacuated := e.evacuatedAt[centre]; evacuated {
+		delete(e.evacuatedAt, centre)
 	} else {
-		e.asked[centre] = e.now
+		e.evacuatedAt[centre] = e.now
 	}
 	var all []string
-	for name := range e.asked {
+	for name := range e.evacuatedAt {
 		all = append(all, name)
 	}
-	slices.SortFunc(all, func(a, b string) int { return e.asked[a].Compare(e.asked[b]) })
-	e.views = append(e.views, view{e.now, all})
+	slices.SortFunc(all, func(a, b string) int { return e.evacuatedAt[a].Compare(e.evacuatedAt[b]) })
+	e.requests = append(e.requests, evacuationRequest{e.now, all})
 }
 
-func (e *evacuating) places(s *planner, began time.Time) {
-	if e.mutant.blind && e.now.Sub(began) < 5*time.Second {
+func (e *evacuationSimulation) applyEvacuations(p *planner, plannerStartedAt time.Time) {
+	if e.mutant.uninformedSuccessor && e.now.Sub(plannerStartedAt) < 5*time.Second {
 		return
 	}
-	s.core.Evacuate(e.read(e.now), e.now)
+	p.core.Evacuate(e.readCentres(e.now), e.now)
 }
 
-// play is one planner's rounds: between a decision and its orders lies a write.
-func (e *evacuating) play(s *planner, began time.Time) {
+// runPlannerRound runs a round of a planner, with a log write between the decision and its orders.
+func (e *evacuationSimulation) runPlannerRound(p *planner, plannerStartedAt time.Time) {
 	list := e.listings()
 	for i := range list {
 		list[i].DataCentre = centreOf(list[i].ID)
 	}
 	for _, id := range e.jobIDs {
-		s.core.Adopt(workload.JobID(id), e.entry(workload.JobID(id)))
+		p.core.Adopt(workload.JobID(id), e.entry(workload.JobID(id)))
 	}
-	s.core.List(list, e.now)
-	e.places(s, began)
-	s.core.Round(e.now, e.now.UnixMilli())
-	for _, r := range s.core.Changes() {
+	p.core.List(list, e.now)
+	e.applyEvacuations(p, plannerStartedAt)
+	p.core.Round(e.now, e.now.UnixMilli())
+	for _, r := range p.core.Changes() {
 		e.log[r.Key] = r.Value
 	}
-	for until := e.now.Add(e.write); e.now.Before(until); {
+	for until := e.now.Add(e.writeTime); e.now.Before(until); {
 		e.tick(20 * time.Millisecond)
-		if !e.mutant.early {
-			e.places(s, began)
+		if !e.mutant.skipsRecheck {
+			e.applyEvacuations(p, plannerStartedAt)
 		}
-		e.give(s, s.core.Due(e.now))
-		e.sendOrders(s)
+		e.sendStarts(p, p.core.Due(e.now))
+		e.sendOrders(p)
 	}
-	if !e.mutant.early {
-		e.places(s, began)
+	if !e.mutant.skipsRecheck {
+		e.applyEvacuations(p, plannerStartedAt)
 	}
-	e.give(s, s.core.Persisted(e.now))
-	e.give(s, s.core.Due(e.now))
-	e.sendOrders(s)
+	e.sendStarts(p, p.core.Persisted(e.now))
+	e.sendStarts(p, p.core.Due(e.now))
+	e.sendOrders(p)
 }
 
-func (e *evacuating) give(s *planner, orders []control.StartOrder) {
+func (e *evacuationSimulation) sendStarts(p *planner, orders []control.StartOrder) {
 	for _, o := range orders {
-		e.check(o)
-		e.sendStart(s, o)
+		e.checkStartOrder(o)
+		e.sendStart(p, o)
 	}
 }
 
-// check holds an order against what was asked for.
-func (e *evacuating) check(o control.StartOrder) {
-	since, asked := e.asked[centreOf(o.Worker)]
-	if asked && e.now.Sub(since) > e.lag+40*time.Millisecond {
-		e.violation("%v is started in %s, which was evacuated %v ago", o.Task, centreOf(o.Worker), e.now.Sub(since))
+// checkStartOrder checks that a start order does not go to a data centre whose evacuation the
+// planner must have read.
+func (e *evacuationSimulation) checkStartOrder(o control.StartOrder) {
+	since, evacuated := e.evacuatedAt[centreOf(o.Worker)]
+	if evacuated && e.now.Sub(since) > e.readLag+40*time.Millisecond {
+		e.violation("%v was started in %s, which was evacuated %v ago", o.Task, centreOf(o.Worker), e.now.Sub(since))
 	}
 }
 
-func playEvacuating(seed int64, m evacuationMutant) *evacuating {
-	e := &evacuating{simulation: newSimulation(seed, true), asked: map[string]time.Time{}, mutant: m}
-	e.lag = time.Duration(e.rng.Intn(800)) * time.Millisecond
-	began := e.now
+func runEvacuationSimulation(seed int64, mut evacuationMutant) *evacuationSimulation {
+	e := &evacuationSimulation{simulation: newSimulation(seed, true), evacuatedAt: map[string]time.Time{}, mutant: mut}
+	e.readLag = time.Duration(e.rng.Intn(800)) * time.Millisecond
+	plannerStartedAt := e.now
 	e.startPlanner(nil)
 	for i := range 120 {
-		// Seats play here, not in tick.
-		s := e.planners[len(e.planners)-1]
-		seats := e.planners
+		// The planner's rounds run here instead of in tick.
+		p := e.planners[len(e.planners)-1]
+		planners := e.planners
 		e.planners = nil
-		e.write = time.Duration(e.rng.Intn(10)) * time.Millisecond
+		e.writeTime = time.Duration(e.rng.Intn(10)) * time.Millisecond
 		if e.rng.Intn(8) == 0 {
-			e.write = time.Duration(e.rng.Intn(3000)) * time.Millisecond
+			e.writeTime = time.Duration(e.rng.Intn(3000)) * time.Millisecond
 		}
 		if i%5 == 0 {
 			e.submit(i / 5)
 		}
 		if e.rng.Intn(6) == 0 {
-			e.turn()
+			e.toggleEvacuation()
 		}
-		e.play(s, began)
+		e.runPlannerRound(p, plannerStartedAt)
 		e.tick(60 * time.Millisecond)
-		e.planners = append(seats, e.planners...)
+		e.planners = append(planners, e.planners...)
 		if e.rng.Intn(20) == 0 {
-			s.dead = true
-			began = e.now
+			p.dead = true
+			plannerStartedAt = e.now
 			e.startPlanner(nil)
 		}
 		if len(e.violations) > 0 {
@@ -383,63 +392,64 @@
 	return e
 }
 
-func TestNoStartGoesOutIntoAnEvacuatedDataCentre(t *testing.T) {
-	worlds, starts := 150, 0
+func TestNoStartIsSentToEvacuatedCentreUnderRandomFaults(t *testing.T) {
+	seeds, starts := 150, 0
 	if testing.Short() {
-		worlds = 20
+		seeds = 20
 	}
-	for seed := range worlds {
-		e := playEvacuating(int64(seed), evacuationMutant{})
+	for seed := range seeds {
+		e := runEvacuationSimulation(int64(seed), evacuationMutant{})
 		starts += e.startCount
 		if len(e.violations) > 0 {
 			t.Fatalf("seed %d: %v", seed, e.violations)
 		}
 	}
-	if starts < worlds {
-		t.Fatalf("%d starts in %d worlds show nothing", starts, worlds)
+	if starts < seeds {
+		t.Fatalf("only %d starts in %d simulations", starts, seeds)
 	}
 }
 
-func TestEveryMutantOfEvacuationsIsCaught(t *testing.T) {
+func TestEvacuationMutantsAreDetected(t *testing.T) {
 	for name, m := range map[string]evacuationMutant{
-		"declarations are read before decisions alone": {early: true},
-		"a successor has not read the declarations":    {blind: true},
-		"only the newest request counts":               {newest: true},
+		"requests are only read before decisions": {skipsRecheck: true},
+		"a successor has not read the requests":   {uninformedSuccessor: true},
+		"only the newest request counts":          {newestOnly: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range mutantSeeds {
-				e := playEvacuating(int64(seed), m)
+				e := runEvacuationSimulation(int64(seed), m)
 				for _, p := range e.violations {
 					if strings.Contains(p, "evacuated") {
-						t.Logf("caught at seed %d: %s", seed, p)
+						t.Logf("detected at seed %d: %s", seed, p)
 						return
 					}
 				}
 			}
-			t.Fatalf("not caught in %d worlds", mutantSeeds)
+			t.Fatalf("not detected in %d simulations", mutantSeeds)
 		})
 	}
 }
 
-// A planner that has not read yet where its workers are does not say that nothing runs in an evacuated data centre.
-func TestNoDataCentreIsEmptyWhileAWorkerWithRunsIsNotListed(t *testing.T) {
-	first := newCentres(t, nil)
-	first.submit(jobA, whole)
-	entry := workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{whole}, Terms: workload.Terms{Priority: 1, Attempts: 3, Stretch: 3}}}
-	for _, r := range first.decide() {
+// A planner that has not read the worker list yet must not report an evacuated data centre as
+// empty.
+func TestCentreIsNotReportedEmptyBeforeWorkersAreListed(t *testing.T) {
+	first := newEvacuationScenario(t, nil)
+	first.submit(jobA, fullWorkerStep)
+	entry := workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{fullWorkerStep}, Terms: workload.Terms{Priority: 1, Attempts: 3, Stretch: 3}}}
+	for _, r := range first.runRound() {
 		if r.Key == workload.ProgressKey(jobA) {
 			entry.Progress = r.Value
 		}
 	}
-	next := &centres{now: first.now, list: first.list, Core: control.New(simBounds, 2, first.now)}
+	next := &evacuationScenario{now: first.now, list: first.list, Core: control.New(simBounds, 2, first.now)}
 	next.Configure(control.Configuration{Version: 1})
 	next.Adopt(jobA, entry)
 	next.Evacuate([]string{"a"}, next.now)
-	if left := next.Evacuated(next.now); left.Runs == 0 || next.noted(control.EventEvacuationEmpty) != "" {
-		t.Fatalf("left before the list is read: %+v", left)
+	if left := next.Evacuated(next.now); left.Runs == 0 || next.eventDetail(control.EventEvacuationEmpty) != "" {
+		t.Fatalf("remaining work before the list was read: %+v", left)
 	}
 	next.List(next.list, next.now)
-	if left := next.Evacuated(next.now); left != (control.Evacuated{Centres: 1, Runs: 2}) || next.noted(control.EventEvacuationEmpty) != "" {
-		t.Fatalf("left after it was read: %+v", left)
+	if left := next.Evacuated(next.now); left != (control.Evacuated{Centres: 1, Runs: 2}) || next.eventDetail(control.EventEvacuationEmpty) != "" {
+		t.Fatalf("remaining work after the list was read: %+v", left)
 	}
 }
--- a/workload/control/maintenance_test.go
+++ b/workload/control/maintenance_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-func (s *scenario) hosts() []control.HostListing {
+func (s *scenario) hostListings() []control.HostListing {
 	var out []control.HostListing
 	for _, l := range s.listings() {
 		out = append(out, control.HostListing{Host: "h" + l.ID, Worker: l.ID, Up: true})
@@ -19,7 +19,7 @@
 	return out
 }
 
-func allHosts(list []control.HostListing) []string {
+func hostNames(list []control.HostListing) []string {
 	var out []string
 	for _, h := range list {
 		out = append(out, h.Host)
@@ -27,33 +27,33 @@
 	return out
 }
 
-// maintenance plays a planner's part in waves against hosts that go down and
-// come back, with answers that are lost or late.
-type maintenance struct {
-	core    *control.Core
-	now     time.Time
-	record  []byte
-	down    map[string]time.Time
-	had     map[string]bool
-	ordered map[string]bool
-	late    []control.DutyOrder
-	wave    control.Wave
+// maintenanceScenario is a planner that carries out a maintenance wave on hosts that go down and
+// come back, with lost and delayed answers.
+type maintenanceScenario struct {
+	core          *control.Core
+	now           time.Time
+	record        []byte
+	downUntil     map[string]time.Time
+	maintained    map[string]bool
+	ordered       map[string]bool
+	delayedOrders []control.DutyOrder
+	wave          control.Wave
 }
 
 const hostDownFor = 500 * time.Millisecond
 
-func newMaintenance(hosts, most int) *maintenance {
-	m := &maintenance{now: time.Unix(1000, 0), down: map[string]time.Time{}, had: map[string]bool{}, ordered: map[string]bool{}}
-	m.wave = control.Wave{ID: 7, Within: 20 * time.Second, Most: most}
+func newMaintenanceScenario(hosts, maxDown int) *maintenanceScenario {
+	m := &maintenanceScenario{now: time.Unix(1000, 0), downUntil: map[string]time.Time{}, maintained: map[string]bool{}, ordered: map[string]bool{}}
+	m.wave = control.Wave{ID: 7, Within: 20 * time.Second, Most: maxDown}
 	for i := range hosts {
 		m.wave.Hosts = append(m.wave.Hosts, fmt.Sprintf("h%d", i))
 	}
-	m.succeed()
+	m.replacePlanner()
 	return m
 }
 
-// succeed seats a new planner, which knows what is in the log.
-func (m *maintenance) succeed() {
+// replacePlanner starts a new planner from the wave's record in the log.
+func (m *maintenanceScenario) replacePlanner() {
 	bounds := simBounds
 	bounds.Maintenance = hostDownFor
 	bounds.DutyLease = 300 * time.Millisecond
@@ -61,25 +61,26 @@
 	m.core.AdoptWave(m.wave, m.record, m.now.UnixMilli())
 }
 
-func (m *maintenance) list() []control.HostListing {
+func (m *maintenanceScenario) hostListings() []control.HostListing {
 	var out []control.HostListing
 	for _, h := range m.wave.Hosts {
-		out = append(out, control.HostListing{Host: h, Worker: "w" + h, Up: m.now.After(m.down[h])})
+		out = append(out, control.HostListing{Host: h, Worker: "w" + h, Up: m.now.After(m.downUntil[h])})
 	}
 	return out
 }
 
-// begin is the platform's part: a host that has had its maintenance is left alone.
-func (m *maintenance) begin(h string) {
-	if !m.had[h] {
-		m.had[h] = true
-		m.down[h] = m.now.Add(hostDownFor)
+// startMaintenance does what the platform does on a duty order: it takes the host down, unless the
+// host has had its maintenance already.
+func (m *maintenanceScenario) startMaintenance(h string) {
+	if !m.maintained[h] {
+		m.maintained[h] = true
+		m.downUntil[h] = m.now.Add(hostDownFor)
 	}
 }
 
-func (m *maintenance) downNow() int {
+func (m *maintenanceScenario) downCount() int {
 	n := 0
-	for _, until := range m.down {
+	for _, until := range m.downUntil {
 		if m.now.Before(until) {
 			n++
 		}
@@ -87,7 +88,7 @@
 	return n
 }
 
-func (m *maintenance) write() {
+func (m *maintenanceScenario) runRound() {
 	m.core.Round(m.now, m.now.UnixMilli())
 	for _, r := range m.core.Changes() {
 		if r.Key == control.WaveKey(7) {
@@ -97,85 +98,87 @@
 	m.core.Persisted(m.now)
 }
 
-// dieUnwritten lets the planner decide once more and end before its records are
-// in the log. What it orders all the same arrives late.
-func (m *maintenance) dieUnwritten() {
+// crashBeforePersisting has the planner run one more round and crash before its records are in the
+// log. Duty orders that it sends nevertheless arrive late.
+func (m *maintenanceScenario) crashBeforePersisting() {
 	m.now = m.now.Add(100 * time.Millisecond)
-	m.core.Hosts(m.list(), m.now)
+	m.core.Hosts(m.hostListings(), m.now)
 	m.core.Round(m.now, m.now.UnixMilli())
 	m.core.Changes()
-	m.late = append(m.late, m.core.Duties(m.now)...)
+	m.delayedOrders = append(m.delayedOrders, m.core.Duties(m.now)...)
 }
 
-func TestWavesKeepTheirBoundWhateverIsLostAndWhoeverPlans(t *testing.T) {
+// A wave must not take down more hosts at once than allowed, or be reported as completed too
+// early, if orders or answers are lost or delayed and planners crash.
+func TestWaveNeverExceedsMaxDownDespiteLostOrdersAndPlannerChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 3).Draw(t, "most")
-		m := newMaintenance(rapid.IntRange(1, 6).Draw(t, "hosts"), most)
+		maxDown := rapid.IntRange(1, 3).Draw(t, "most")
+		m := newMaintenanceScenario(rapid.IntRange(1, 6).Draw(t, "hosts"), maxDown)
 		for step := range 400 {
 			m.now = m.now.Add(100 * time.Millisecond)
 			if m.core.WantsHosts(m.now) {
-				m.core.Hosts(m.list(), m.now)
+				m.core.Hosts(m.hostListings(), m.now)
 			}
-			m.write()
+			m.runRound()
 			for _, o := range m.core.Duties(m.now) {
-				// After a while everything is answered, so that the wave can end.
-				fate := 3
+				// In the second half all orders are answered, so that the wave can complete.
+				outcome := 3
 				if step < 200 {
-					fate = rapid.IntRange(0, 5).Draw(t, "fate")
+					outcome = rapid.IntRange(0, 5).Draw(t, "fate")
 				}
-				switch fate {
+				switch outcome {
 				case 0:
-					m.late = append(m.late, o)
+					m.delayedOrders = append(m.delayedOrders, o)
 					m.core.DutyDone(o, control.DutyUnanswered, m.now)
 				case 1:
-					m.begin(o.Host)
+					m.startMaintenance(o.Host)
 					m.core.DutyDone(o, control.DutyUnanswered, m.now)
 				case 2:
 					m.core.DutyDone(o, control.DutyRefused, m.now)
 				default:
-					m.begin(o.Host)
+					m.startMaintenance(o.Host)
 					m.core.DutyDone(o, control.DutyBegun, m.now)
 				}
 			}
-			if len(m.late) > 0 && (step >= 200 || rapid.IntRange(0, 9).Draw(t, "arrives") == 0) {
-				m.begin(m.late[0].Host)
-				m.late = m.late[1:]
+			if len(m.delayedOrders) > 0 && (step >= 200 || rapid.IntRange(0, 9).Draw(t, "arrives") == 0) {
+				m.startMaintenance(m.delayedOrders[0].Host)
+				m.delayedOrders = m.delayedOrders[1:]
 			}
 			if step < 200 && rapid.IntRange(0, 19).Draw(t, "succession") == 0 {
-				m.dieUnwritten()
-				m.succeed()
+				m.crashBeforePersisting()
+				m.replacePlanner()
 			}
-			if n := m.downNow(); n > most {
-				t.Fatalf("%d hosts are down, %d may be", n, most)
+			if n := m.downCount(); n > maxDown {
+				t.Fatalf("%d hosts are down, want at most %d", n, maxDown)
 			}
 			for _, r := range m.core.WaveReports() {
-				if r.State == control.WaveCompleted && len(m.had) != len(m.wave.Hosts) {
-					t.Fatalf("reported as completed with %d of %d hosts", len(m.had), len(m.wave.Hosts))
+				if r.State == control.WaveCompleted && len(m.maintained) != len(m.wave.Hosts) {
+					t.Fatalf("wave reported as completed after maintenance of %d of %d hosts", len(m.maintained), len(m.wave.Hosts))
 				}
 				m.core.WaveReported(r)
 			}
 		}
-		if len(m.had) != len(m.wave.Hosts) {
-			t.Fatalf("%d of %d hosts had their maintenance", len(m.had), len(m.wave.Hosts))
+		if len(m.maintained) != len(m.wave.Hosts) {
+			t.Fatalf("%d of %d hosts had their maintenance", len(m.maintained), len(m.wave.Hosts))
 		}
 	})
 }
 
-func TestAHostIsVacatedBeforeItsMaintenance(t *testing.T) {
+func TestHostIsVacatedBeforeMaintenance(t *testing.T) {
 	s := newScenario()
 	s.fleet.Work = nil
 	s.fleet.Work = s.randomWork
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(8), Checkpoint: true, EstimateMS: 60_000})
 	s.advance(time.Second)
 	core := s.planners[0].core
-	list := s.hosts()
-	core.AdoptWave(control.Wave{ID: 1, Hosts: allHosts(list), Within: 30 * time.Second, Most: 1}, nil, s.now.UnixMilli())
+	list := s.hostListings()
+	core.AdoptWave(control.Wave{ID: 1, Hosts: hostNames(list), Within: 30 * time.Second, Most: 1}, nil, s.now.UnixMilli())
 	core.Hosts(list, s.now)
 	for range 300 {
 		s.advance(20 * time.Millisecond)
 		for _, o := range core.Duties(s.now) {
 			if n := s.fleet.Workers[o.Host[1:]].Running(); n > 0 {
-				t.Fatalf("%s has %d runs when its maintenance begins", o.Host, n)
+				t.Fatalf("%s has %d runs when its maintenance is ordered", o.Host, n)
 			}
 			return
 		}
@@ -183,43 +186,44 @@
 	t.Fatal("no maintenance was ordered")
 }
 
-func TestAHostThatLeftIsNotWaitedFor(t *testing.T) {
-	m := newMaintenance(2, 1)
+func TestWaveDoesNotWaitForRemovedHost(t *testing.T) {
+	m := newMaintenanceScenario(2, 1)
 	m.now = m.now.Add(time.Second)
-	m.core.Hosts(m.list()[:1], m.now)
+	m.core.Hosts(m.hostListings()[:1], m.now)
 	for range 40 {
 		m.now = m.now.Add(100 * time.Millisecond)
-		m.write()
+		m.runRound()
 		for _, o := range m.core.Duties(m.now) {
-			m.begin(o.Host)
+			m.startMaintenance(o.Host)
 			m.core.DutyDone(o, control.DutyBegun, m.now)
 		}
 	}
 	reports := m.core.WaveReports()
-	if len(reports) != 1 || reports[0].State != control.WaveCompleted || len(m.had) != 1 {
-		t.Fatalf("%+v, %d hosts", reports, len(m.had))
+	if len(reports) != 1 || reports[0].State != control.WaveCompleted || len(m.maintained) != 1 {
+		t.Fatalf("reports %+v, %d hosts had their maintenance", reports, len(m.maintained))
 	}
 }
 
-// A planner that ends between the record of a wave's completion and its report leaves the report to its successor.
-func TestACompletedWaveIsReportedByTheSuccessor(t *testing.T) {
-	m := newMaintenance(1, 1)
+// If a planner crashes after it has recorded a wave's completion and before it has reported it, its
+// successor must report it.
+func TestSuccessorReportsCompletedWave(t *testing.T) {
+	m := newMaintenanceScenario(1, 1)
 	for range 60 {
 		m.now = m.now.Add(100 * time.Millisecond)
 		if m.core.WantsHosts(m.now) {
-			m.core.Hosts(m.list(), m.now)
+			m.core.Hosts(m.hostListings(), m.now)
 		}
-		m.write()
+		m.runRound()
 		for _, o := range m.core.Duties(m.now) {
-			m.begin(o.Host)
+			m.startMaintenance(o.Host)
 			m.core.DutyDone(o, control.DutyBegun, m.now)
 		}
 	}
 	if reports := m.core.WaveReports(); len(reports) != 1 || reports[0].State != control.WaveCompleted {
-		t.Fatalf("the first planner would report %+v", reports)
+		t.Fatalf("reports of the first planner: %+v", reports)
 	}
-	m.succeed()
+	m.replacePlanner()
 	if reports := m.core.WaveReports(); len(reports) != 1 || reports[0].State != control.WaveCompleted {
-		t.Fatalf("its successor reports %+v", reports)
+		t.Fatalf("reports of its successor: %+v", reports)
 	}
 }
--- a/workload/control/outage_bench_test.go
+++ b/workload/control/outage_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/cobalttide/cobalttide/workload/control"
 )
 
-// restartAll lets every worker answer as another life that runs nothing.
+// restartAll has every worker answer as a new incarnation on which nothing runs.
 func (c *loadedPool) restartAll(workers int) {
 	for i := range workers {
 		order := control.HoldOrder{Worker: fmt.Sprintf("%016x", i*7919), Address: fmt.Sprint(i), Life: 1, Token: poolToken << 20}
@@ -17,8 +17,8 @@
 	c.runs = map[string][]control.RunningRow{}
 }
 
-// BenchmarkAllCrash is what the planner spends on the crash of a full pool, all at once, and on
-// the round after it.
+// BenchmarkAllCrash measures the time that the planner spends when all workers of a full pool crash
+// at once, including the next round.
 func BenchmarkAllCrash(b *testing.B) {
 	for _, workers := range []int{50, 350, 1100} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/workload/control/outages_test.go
+++ b/workload/control/outages_test.go
@@ -8,9 +8,9 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-func TestCrashHistoryCountsTheCrashesThatAJobHadNoPartIn(t *testing.T) {
-	begin := time.Unix(1000, 0)
-	at := func(seconds int) time.Time { return begin.Add(time.Duration(seconds) * time.Second) }
+func TestCrashHistoryCountsOnlyCrashesWithoutRunsOfTheJob(t *testing.T) {
+	start := time.Unix(1000, 0)
+	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	h := newCrashHistory()
 	for i, jobs := range [][]workload.JobID{{"a"}, {"a", "b"}, nil, {"b"}, nil} {
 		h.add(crash{silentAt: at(i), noticedAt: at(i + 1)}, jobs)
@@ -19,11 +19,11 @@
 		what      string
 		got, want int
 	}{
-		{"around the second, without a", h.countAround(at(1), "a", time.Second), 1},
-		{"around the second, without b", h.countAround(at(1), "b", time.Second), 2},
-		{"around the second, all", h.countAround(at(1), "c", time.Second), 3},
-		{"since the third, without b", h.countSince(at(3), "b"), 2},
-		{"since the third, all", h.countSince(at(3), "c"), 3},
+		{"around the second crash, without job a", h.countAround(at(1), "a", time.Second), 1},
+		{"around the second crash, without job b", h.countAround(at(1), "b", time.Second), 2},
+		{"around the second crash, all jobs", h.countAround(at(1), "c", time.Second), 3},
+		{"since the third crash, without job b", h.countSince(at(3), "b"), 2},
+		{"since the third crash, all jobs", h.countSince(at(3), "c"), 3},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %d crashes, want %d", c.what, c.got, c.want)
@@ -35,14 +35,15 @@
 	}
 }
 
-// A crash that comes with many others is no evidence, also where those are noticed after it.
-func TestACrashIsWeighedAgainOnceTheOthersAreNoticed(t *testing.T) {
+// A crash that is part of an outage must be excluded from the evidence even if the other crashes are
+// noticed after it.
+func TestCrashIsExcludedOnceItsOutageIsNoticed(t *testing.T) {
 	s := newCutOffScenario(false)
 	s.round()
 	s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Gone}, s.now, s.now)
 	task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
 	if task.Crashes != 1 || task.Evidence() != 1 {
-		t.Fatalf("%d crashes, of which %d point at the task", task.Crashes, task.Evidence())
+		t.Fatalf("%d crashes, of which %d are evidence against the task", task.Crashes, task.Evidence())
 	}
 	s.now = s.now.Add(outageSpanWaits * time.Second)
 	for range outageLeast {
@@ -50,12 +51,13 @@
 	}
 	s.round()
 	if task.Crashes != 1 || task.Evidence() != 0 {
-		t.Errorf("%d crashes, of which %d point at the task", task.Crashes, task.Evidence())
+		t.Errorf("%d crashes, of which %d are evidence against the task", task.Crashes, task.Evidence())
 	}
 }
 
-// A task under which several workers have crashed waits for a pool without outages, and no longer.
-func TestATaskUnderSeveralCrashesWaitsForASettledPool(t *testing.T) {
+// A task that several workers have crashed under must wait until the pool has been without an outage
+// for some time, but no longer.
+func TestTaskWithSeveralCrashesWaitsForSettledPool(t *testing.T) {
 	for _, c := range []struct {
 		crashes, others int
 		perpetual       bool
@@ -82,23 +84,23 @@
 			for range c.others {
 				s.c.crashHistory.add(crash{silentAt: s.now, noticedAt: s.now}, nil)
 			}
-			outage := s.now
+			outageAt := s.now
 			for len(s.round()) == 0 {
 				s.renew("w0", nil, nil)
-				if s.now = s.now.Add(100 * time.Millisecond); s.now.Sub(outage) > time.Minute {
-					t.Fatal("nothing begins")
+				if s.now = s.now.Add(100 * time.Millisecond); s.now.Sub(outageAt) > time.Minute {
+					t.Fatal("no task was started within a minute")
 				}
 			}
-			if waited := s.now.Sub(outage); waited < c.waits || waited > c.waits+200*time.Millisecond {
-				t.Errorf("it began after %v, want %v", waited, c.waits)
+			if waited := s.now.Sub(outageAt); waited < c.waits || waited > c.waits+200*time.Millisecond {
+				t.Errorf("started after %v, want %v", waited, c.waits)
 			}
 		})
 	}
 }
 
-// Guards against jobs that crash their workers in one moment taking innocent ones along: together
-// they look like an outage, whose crashes are no evidence.
-func TestATaskUnderExcludedCrashesIsKeptApart(t *testing.T) {
+// Jobs that crash their workers at the same moment look like an outage, so that their crashes are
+// excluded. Their tasks must be isolated nevertheless, or harmless jobs would be lost with them.
+func TestTaskWithExcludedCrashesIsIsolated(t *testing.T) {
 	s := newCutOffScenario(false)
 	j := s.c.jobs[s.id]
 	s.c.Round(s.now, s.now.UnixMilli())
@@ -111,20 +113,20 @@
 	s.now = s.now.Add(time.Minute)
 	j.waitedUnsettledAt = s.now
 	snapshot, _ := s.c.snapshot(s.now, s.now.UnixMilli())
-	apart := 0
+	isolated := 0
 	for _, u := range snapshot.Waiting {
 		if u.Suspect && u.Alone && len(u.Indexes) == 1 && u.Indexes[0] == 0 {
-			apart++
+			isolated++
 		}
 	}
-	if apart != 1 || len(snapshot.Waiting) != 2 {
-		t.Errorf("%d of %d units are kept apart: %+v", apart, len(snapshot.Waiting), snapshot.Waiting)
+	if isolated != 1 || len(snapshot.Waiting) != 2 {
+		t.Errorf("%d of %d units are isolated suspects: %+v", isolated, len(snapshot.Waiting), snapshot.Waiting)
 	}
 }
 
-// Guards against a gang's member that crashes its workers in the moments of outages having a run
-// more for each.
-func TestAnExcludedCrashCountsAgainstTheBound(t *testing.T) {
+// A gang's member that crashes its workers during outages must not get another run for each excluded
+// crash.
+func TestExcludedCrashCountsTowardsRunLimit(t *testing.T) {
 	s := newCutOffScenario(true)
 	s.round()
 	task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
@@ -135,9 +137,9 @@
 	}
 }
 
-// Guards against an innocent task being given up for crashes that another job caused, and against
-// a task whose crashes were put down to others in error being started without a bound.
-func TestAnExoneratedCrashLeavesATaskOneRunMore(t *testing.T) {
+// A harmless task must not fail its job for crashes that another job caused, and a task that was
+// exonerated by mistake must not be started without limit.
+func TestExoneratedCrashAllowsOneMoreRun(t *testing.T) {
 	for _, c := range []struct {
 		crashes, exonerated int
 		run                 int64
@@ -164,29 +166,28 @@
 	}
 }
 
-// The bound holds whatever verdicts say: a task under each of whose crashes another job was given
-// up is given up at the fourth.
-func TestVerdictsOverEachCrashDontEndTheBound(t *testing.T) {
+// A task whose every crash made another job fail must still fail its own job at the fourth crash.
+func TestExonerationsDoNotLiftRunLimit(t *testing.T) {
 	s := newCutOffScenario(false)
 	s.round()
 	id := s.firstStepTask(0)
-	j, l := s.c.jobs[s.id], s.c.runs[id]
+	j, r := s.c.jobs[s.id], s.c.runs[id]
 	other := workload.TaskID{Job: "00000000000000bb"}
 	for run := int64(1); run <= maxCrashes+1; run++ {
 		task := j.progress.Find(id)
 		if task == nil || j.progress.State.Final() {
-			t.Fatalf("given up before run %d", run)
+			t.Fatalf("the job failed before run %d", run)
 		}
-		task.Run, l.run = run, run
-		givenUp := s.c.attributeCrash(s.c.workers["w0"], []*activeRun{l}, reasonAnotherIncarnation, s.now)
+		task.Run, r.run = run, run
+		givenUp := s.c.attributeCrash(s.c.workers["w0"], []*activeRun{r}, reasonAnotherIncarnation, s.now)
 		if last := run == maxCrashes+1; (len(givenUp) > 0) != last {
-			t.Fatalf("run %d: %d tasks are given up: %+v", run, len(givenUp), *task)
+			t.Fatalf("run %d: the jobs of %d runs fail: %+v", run, len(givenUp), *task)
 		}
 		latest := &s.c.crashHistory.crashes[len(s.c.crashHistory.crashes)-1]
 		latest.tasks = append(latest.tasks, other)
 		s.c.exonerateOthers(other.Job)
 		if task.Crashes != 0 || task.TotalCrashes() != int(run) {
-			t.Fatalf("run %d: %+v", run, *task)
+			t.Fatalf("after run %d and the exoneration: %+v", run, *task)
 		}
 	}
 }
--- a/workload/control/pool_lost_test.go
+++ b/workload/control/pool_lost_test.go
@@ -10,15 +10,17 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// poolLoss is a pool of which a part crashes at once, again and again.
+// poolLoss is a repeated loss of a part of the pool: each time the share of the workers crashes at
+// once. If sameID is set, they restart under their ids.
 type poolLoss struct {
-	share  float64
-	times  int
-	apart  time.Duration
-	sameID bool
+	share    float64
+	count    int
+	interval time.Duration
+	sameID   bool
 }
 
-func poolLosses() []poolLoss {
+// allPoolLosses returns all combinations of the parameters.
+func allPoolLosses() []poolLoss {
 	var out []poolLoss
 	for _, share := range []float64{0.4, 0.5, 0.6, 0.7, 0.9, 1} {
 		for _, times := range []int{4, 7} {
@@ -32,34 +34,34 @@
 	return out
 }
 
-// someLosses are the cells that CI plays.
-func someLosses() []poolLoss {
-	return slices.DeleteFunc(poolLosses(), func(loss poolLoss) bool {
-		return loss.times == 4 || loss.share == 0.5 || loss.share == 0.6 || loss.share == 0.9 || loss.apart == 1500*time.Millisecond
+// ciPoolLosses returns the combinations that CI runs.
+func ciPoolLosses() []poolLoss {
+	return slices.DeleteFunc(allPoolLosses(), func(loss poolLoss) bool {
+		return loss.count == 4 || loss.share == 0.5 || loss.share == 0.6 || loss.share == 0.9 || loss.interval == 1500*time.Millisecond
 	})
 }
 
-// play loses a part of the pool again and again while ten jobs that crash nothing and two
-// that do run, and holds what became of them against what must hold. A planner follows another
-// each so often; 0 is never.
-func (loss poolLoss) play(t *testing.T, seed int64, succession time.Duration) {
+// run runs the losses while ten harmless jobs and two that crash their workers are running, and
+// checks that the harmless jobs complete and the others fail. It replaces the planner at the
+// interval; 0 is never.
+func (loss poolLoss) run(t *testing.T, seed int64, plannerInterval time.Duration) {
 	const takes = 6 * time.Second
 	s := newLargeScenario(takes)
 	s.rng.Seed(seed)
 	s.enableCrashes(map[workload.JobID]time.Duration{crashingJob(0): 800 * time.Millisecond, crashingJob(1): 800 * time.Millisecond}, 800*time.Millisecond)
-	var innocent []workload.JobID
+	var harmless []workload.JobID
 	for i := range 10 {
-		innocent = append(innocent, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(4), EstimateMS: takes.Milliseconds()}))
+		harmless = append(harmless, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(4), EstimateMS: takes.Milliseconds()}))
 	}
 	for i := range 2 {
 		s.add(crashingJob(i), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: takes.Milliseconds()})
 	}
-	succeeded := s.now
-	for range loss.times {
-		s.advance(loss.apart)
+	plannerStartedAt := s.now
+	for range loss.count {
+		s.advance(loss.interval)
 		s.crashShare(loss.share, loss.sameID)
-		if succession > 0 && s.now.Sub(succeeded) >= succession {
-			succeeded = s.now
+		if plannerInterval > 0 && s.now.Sub(plannerStartedAt) >= plannerInterval {
+			plannerStartedAt = s.now
 			s.schedule(300*time.Millisecond, func() { s.startPlanner(nil) })
 		}
 	}
@@ -69,43 +71,43 @@
 	s.check(t)
 	for i := range 2 {
 		if state := s.jobState(crashingJob(i)); state != workload.Failed {
-			t.Errorf("a job whose task crashed %d workers is %s", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
+			t.Errorf("a job whose task crashed %d workers is %s, want failed", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
 		}
 	}
-	for _, id := range innocent {
+	for _, id := range harmless {
 		if state := s.jobState(id); state != workload.Completed {
-			t.Errorf("job %s, whose tasks crash nothing, is %s", id, state)
+			t.Errorf("harmless job %s is %s, want completed", id, state)
 		}
 	}
 }
 
-// Guards against jobs that crash nothing being given up where a part of the pool is lost several
-// times, and against jobs that do being started without a bound behind such losses.
-// CI plays a part of the cells; POOL_SEEDS=20 plays all, each so often.
-func TestOnlyJobsThatCrashWorkersAreGivenUpWhereAPoolIsLostAgainAndAgain(t *testing.T) {
-	losses, seeds := someLosses(), 1
-	if asked := os.Getenv("POOL_SEEDS"); asked != "" {
-		losses = poolLosses()
-		if _, err := fmt.Sscan(asked, &seeds); err != nil {
+// Guards against harmless jobs that fail when a part of the pool is lost several times, and against
+// unlimited starts of crashing jobs during such losses. CI runs some of the combinations once;
+// POOL_SEEDS=20 runs all of them with 20 seeds.
+func TestOnlyCrashingJobsFailWhenPoolIsLostRepeatedly(t *testing.T) {
+	losses, seeds := ciPoolLosses(), 1
+	if value := os.Getenv("POOL_SEEDS"); value != "" {
+		losses = allPoolLosses()
+		if _, err := fmt.Sscan(value, &seeds); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for i := range seeds * len(losses) {
 		loss, seed := losses[i%len(losses)], int64(1+i/len(losses))
-		t.Run(fmt.Sprintf("seed %d, share %v, %d times, %v apart, same id %t", seed, loss.share, loss.times, loss.apart, loss.sameID), func(t *testing.T) {
+		t.Run(fmt.Sprintf("seed %d, share %v, %d times, %v apart, same id %t", seed, loss.share, loss.count, loss.interval, loss.sameID), func(t *testing.T) {
 			t.Parallel()
-			loss.play(t, seed, 0)
+			loss.run(t, seed, 0)
 		})
 	}
 }
 
-// Guards against the same where planners follow one another: a successor knows of the crashes
-// before it what the record says.
-func TestOnlyJobsThatCrashWorkersAreGivenUpWhereThePlannersAreLostToo(t *testing.T) {
-	for _, loss := range someLosses() {
-		t.Run(fmt.Sprintf("share %v, %v apart, same id %t", loss.share, loss.apart, loss.sameID), func(t *testing.T) {
+// Guards against the same failures when planners are replaced as well: of earlier crashes, a
+// successor knows only what is recorded.
+func TestOnlyCrashingJobsFailWhenPlannersAreLostToo(t *testing.T) {
+	for _, loss := range ciPoolLosses() {
+		t.Run(fmt.Sprintf("share %v, %v apart, same id %t", loss.share, loss.interval, loss.sameID), func(t *testing.T) {
 			t.Parallel()
-			loss.play(t, 1, 4*time.Second)
+			loss.run(t, 1, 4*time.Second)
 		})
 	}
 }
--- a/workload/control/pool_test.go
+++ b/workload/control/pool_test.go
@@ -13,8 +13,8 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// listedNow is what a core knows of its list.
-func listedNow(c *Core) map[string]string {
+// describeWorkers returns the core's state of each worker, as text.
+func describeWorkers(c *Core) map[string]string {
 	out := map[string]string{}
 	for _, w := range c.workers {
 		out[w.ID] = fmt.Sprintf("%s %s %t gone=%t labels=%v draining=%t", w.Address, w.Rack, w.listed, w.gone, slices.Sorted(maps.Keys(w.labels)), w.Draining)
@@ -22,12 +22,12 @@
 	return out
 }
 
-// A list that is taken over entry by entry is known as one that is taken over whole, whatever
-// comes, goes and takes over whose address; and what is kept in order is what there is.
-func TestAListTakenOverEntryByEntryIsKnownAsTheWhole(t *testing.T) {
+// Updating the worker list entry by entry must give the same state as replacing it as a whole, also
+// if workers take over each other's addresses. The sorted list of workers must match the map.
+func TestIncrementalListUpdatesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
-		whole, parts := New(Bounds{}, 1, now), New(Bounds{}, 1, now)
+		full, incremental := New(Bounds{}, 1, now), New(Bounds{}, 1, now)
 		list := map[string]Listing{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			changed := map[string]bool{}
@@ -40,40 +40,39 @@
 				}
 				list[id] = Listing{ID: id, Address: fmt.Sprint("a", rapid.IntRange(0, 3).Draw(t, "address")), Rack: "r", Labels: []string{fmt.Sprint("l", rapid.IntRange(0, 1).Draw(t, "label"))}}
 			}
-			whole.List(slices.Collect(maps.Values(list)), now)
+			full.List(slices.Collect(maps.Values(list)), now)
 			for _, id := range slices.Sorted(maps.Keys(changed)) {
 				if l, ok := list[id]; ok {
-					parts.ListOne(l, now)
+					incremental.ListOne(l, now)
 				} else {
-					parts.Unlist(id, now)
+					incremental.Unlist(id, now)
 				}
 			}
-			parts.Sweep(now)
-			if diff := cmp.Diff(listedNow(whole), listedNow(parts)); diff != "" {
-				t.Fatalf("whole (-), entry by entry (+):\n%s", diff)
+			incremental.Sweep(now)
+			if diff := cmp.Diff(describeWorkers(full), describeWorkers(incremental)); diff != "" {
+				t.Fatalf("full list (-), entry by entry (+):\n%s", diff)
 			}
-			checkOrder(t, parts)
+			checkWorkerOrder(t, incremental)
 		}
 	})
 }
 
-func checkOrder(t *rapid.T, c *Core) {
-	var order []string
+func checkWorkerOrder(t *rapid.T, c *Core) {
+	var ids []string
 	listed := 0
 	for _, w := range c.workersByID {
-		order = append(order, w.ID)
+		ids = append(ids, w.ID)
 		if w.listed {
 			listed++
 		}
 	}
-	if want := sortedKeys(c.workers); !slices.Equal(order, want) || listed != c.listedCount {
-		t.Fatalf("in order %v of %v, listed %d of %d", order, want, listed, c.listedCount)
+	if want := sortedKeys(c.workers); !slices.Equal(ids, want) || listed != c.listedCount {
+		t.Fatalf("workers in order: %v, want %v; %d are listed, the counter is %d", ids, want, listed, c.listedCount)
 	}
 }
 
-// Jobs are kept in the order in which they were accepted, whatever the order in which they
-// come and go.
-func TestJobsAreKeptInTheOrderOfTheirAcceptance(t *testing.T) {
+// Jobs must stay sorted by acceptance, in whichever order they are added and dropped.
+func TestJobsStayInAcceptanceOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(Bounds{}, 1, time.Unix(1_000_000, 0))
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
@@ -85,13 +84,14 @@
 			c.addJob(&job{Job: &workload.Job{ID: id, AcceptedMS: rapid.Int64Range(0, 4).Draw(t, "accepted")}})
 		}
 		if !slices.IsSortedFunc(c.jobsByAcceptance, compareAcceptance) || len(c.jobsByAcceptance) != len(c.jobs) {
-			t.Fatalf("%d jobs, %d in order", len(c.jobs), len(c.jobsByAcceptance))
+			t.Fatalf("%d jobs, %d in the list, or the list is not sorted", len(c.jobs), len(c.jobsByAcceptance))
 		}
 	})
 }
 
-// A look at who is to be held takes no memory where nobody is, whatever the size of the pool.
-func TestALookWhereNothingHappenedTakesNothing(t *testing.T) {
+// A check for due lease renewals must not allocate memory if none are due, whatever the size of the
+// pool.
+func TestIdlePollDoesNotAllocate(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	c := New(Bounds{Wait: time.Second}, 1, now)
 	for i := range 2000 {
@@ -107,17 +107,17 @@
 	later := now.Add(time.Second)
 	if n := testing.AllocsPerRun(10, func() {
 		if len(c.NeedsHold(later)) > 0 {
-			t.Error("somebody is to be held")
+			t.Error("a lease renewal is due")
 		}
 		c.Sweep(later)
 	}); n > 0 {
-		t.Fatalf("%v allocations", n)
+		t.Fatalf("%v allocations, want 0", n)
 	}
 }
 
-// A planner that begins meets thousands of workers over some looks; those that may have runs it
-// meets in the first.
-func TestAPlannerThatBeginsMeetsWorkersWithRunsFirst(t *testing.T) {
+// A new planner polls thousands of workers over several rounds of polls. Those that may have runs
+// must be in the first one.
+func TestNewPlannerPollsWorkersWithRunsFirst(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	c := New(Bounds{Wait: time.Second}, 1, now)
 	step := &workload.Step{Count: 1}
@@ -128,24 +128,24 @@
 			c.workers[id].runs[workload.TaskID{Index: i}] = &activeRun{worker: c.workers[id], step: step}
 		}
 	}
-	held, withRuns := 0, 0
+	polled, withRuns := 0, 0
 	for _, id := range c.NeedsHold(now) {
 		if _, ok := c.Hold(id, now); ok {
-			held++
+			polled++
 			withRuns += len(c.workers[id].runs)
 		}
 	}
-	if held != 2*maxFirstPolls || withRuns != maxFirstPolls {
-		t.Fatalf("%d held at the first look, %d with runs", held, withRuns)
+	if polled != 2*maxFirstPolls || withRuns != maxFirstPolls {
+		t.Fatalf("%d workers in the first round of polls, %d of them with runs", polled, withRuns)
 	}
 	for range 2 {
 		for _, id := range c.NeedsHold(now) {
 			if _, ok := c.Hold(id, now); ok {
-				held++
+				polled++
 			}
 		}
 	}
-	if held != 4*maxFirstPolls {
-		t.Fatalf("%d of %d held after three looks", held, 4*maxFirstPolls)
+	if polled != 4*maxFirstPolls {
+		t.Fatalf("%d of %d workers polled after three rounds of polls", polled, 4*maxFirstPolls)
 	}
 }
--- a/workload/control/outage_days_test.go
+++ b/workload/control/repeated_outages_test.go
@@ -9,16 +9,16 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// Wide gangs waited until the end of a day of 350 workers, 36 s after four tenths of them had
-// started again for the last time. On a day like it jobs never ended in 4 of 4 seeds with lives
-// known by their ids (the first ends of each life are passed over, and work runs again and
-// again), and in 2 of 4 where a start that went out in its worker's silence was taken for one
-// that the next life may still begin.
+// These tests guard against wide gangs that wait for ever after many workers have restarted at once
+// several times. Jobs never ended with 4 of 4 seeds when incarnations were told apart by id alone
+// (the first ends of each incarnation were skipped, and tasks were restarted again and again), and
+// with 2 of 4 seeds when a start order that was sent while its worker was silent counted as one that
+// the next incarnation may still carry out.
 
-// playOutageDay has 120 workers in racks of eight, of which four tenths start again under their
-// ids six times in 72 s, and a load of wide gangs, quotes and checks of two steps meanwhile; it
-// goes on for as long after.
-func playOutageDay(t *testing.T, seed int64, horizon time.Duration) *scenario {
+// runRepeatedOutages simulates 120 workers in racks of eight up to the horizon. Each of six outages
+// in the first 72 s restarts four tenths of the workers under their ids. For 80 s wide gangs, small
+// jobs and jobs of two steps arrive.
+func runRepeatedOutages(t *testing.T, seed int64, horizon time.Duration) *scenario {
 	s := &scenario{simulation: newSimulation(seed, false)}
 	for i := 6; i < 120; i++ {
 		id := fmt.Sprintf("w%03d", i)
@@ -31,12 +31,12 @@
 	s.maxWriteTime, s.longPoll = 150*time.Millisecond, true
 	s.startPlanner(nil)
 	outages := []time.Duration{5500 * time.Millisecond, 19 * time.Second, 34 * time.Second, 43 * time.Second, 57 * time.Second, 72 * time.Second}
-	began := s.now
-	for i := 0; s.now.Sub(began) < horizon; i++ {
-		if s.now.Sub(began) < 80*time.Second {
-			s.addOfDay(i)
+	startedAt := s.now
+	for i := 0; s.now.Sub(startedAt) < horizon; i++ {
+		if s.now.Sub(startedAt) < 80*time.Second {
+			s.addMixedJob(i)
 		}
-		if len(outages) > 0 && s.now.Sub(began) > outages[0] {
+		if len(outages) > 0 && s.now.Sub(startedAt) > outages[0] {
 			outages = outages[1:]
 			for _, id := range sortedIDs(s.fleet.Workers) {
 				if s.rng.Float64() < 0.4 {
@@ -50,7 +50,8 @@
 	return s
 }
 
-func (s *scenario) addOfDay(i int) {
+// addMixedJob adds the i-th job of the load.
+func (s *scenario) addMixedJob(i int) {
 	id := workload.JobID(fmt.Sprintf("%c%015x", 'a'+i%6, i))
 	big := workload.Resources{MilliCPU: 13000, MemoryMiB: 53000, Accelerators: 8}
 	small := workload.Resources{MilliCPU: 2800, MemoryMiB: 11000, Accelerators: 1}
@@ -67,16 +68,16 @@
 	}
 }
 
-func TestNothingWaitsForEverAfterOutages(t *testing.T) {
+func TestAllJobsEndAfterRepeatedOutages(t *testing.T) {
 	for seed := range int64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := playOutageDay(t, seed, 110*time.Second)
+			s := runRepeatedOutages(t, seed, 110*time.Second)
 			if len(s.violations) > 0 {
 				t.Error(s.violations)
 			}
 			if len(s.unsettledRuns) > 0 {
-				t.Errorf("nothing settles %v", s.unsettledRuns)
+				t.Errorf("unsettled runs: %v", s.unsettledRuns)
 			}
 			if open := s.unfinished(); len(open) > 0 {
 				t.Errorf("jobs have not ended 38 s after the last outage: %v", open)
--- a/workload/control/together_test.go
+++ b/workload/control/simultaneous_crashes_test.go
@@ -9,13 +9,13 @@
 	"github.com/cobalttide/cobalttide/workload/workertest"
 )
 
-// Four tenths of 350 workers crashed in one moment, three times in 18 s, and no task had crashed
-// any of them. Sixteen jobs in four plays of two such days were given up for crashing workers,
-// with three or four crashes each, 3.7 s to 13.6 s after their starts: each crash counted
-// against all that ran there, and the verdict did not look at how many workers fell silent in
-// the same moment that had never run the task.
+// These tests guard against failing jobs for crashes that they did not cause. Four tenths of 350
+// workers crashed at the same moment, three times in 18 s, and 16 jobs failed in four simulations
+// of two such days, with three or four crashes each, 3.7 s to 13.6 s after their starts. Each crash
+// counted against all tasks on the worker, regardless of how many workers that had never run the
+// task fell silent at the same moment.
 
-// newFullScene has 48 workers in racks of eight, whose runs take so long.
+// newLargeScenario returns a scenario with 48 workers, on which each run takes the given time.
 func newLargeScenario(takes time.Duration) *scenario {
 	s := newScenario()
 	for i := 6; i < 48; i++ {
@@ -26,9 +26,9 @@
 	return s
 }
 
-// playOutages lets jobs come for a time and a part of the workers crash at once every few
-// seconds; it returns the jobs that crash nothing.
-func (s *scenario) playOutages(takes time.Duration, share float64, outages int, crash func(id string)) []workload.JobID {
+// runWithOutages adds a harmless job every 400 ms and crashes a share of the workers at once every 6 s.
+// It returns the harmless jobs.
+func (s *scenario) runWithOutages(takes time.Duration, share float64, outages int, crash func(id string)) []workload.JobID {
 	var jobs []workload.JobID
 	for i := range 60 {
 		jobs = append(jobs, s.add(workload.JobID(fmt.Sprintf("a%015x", i)), nil, workload.Step{Count: 4, Need: need(4), EstimateMS: takes.Milliseconds()}))
@@ -45,14 +45,14 @@
 	return jobs
 }
 
-func TestJobsAreNotGivenUpForWorkersThatCrashTogether(t *testing.T) {
+func TestJobsDoNotFailForSimultaneousCrashes(t *testing.T) {
 	for _, takes := range []time.Duration{400 * time.Millisecond, 2500 * time.Millisecond, 9 * time.Second} {
 		for _, sameID := range []bool{true, false} {
 			t.Run(fmt.Sprintf("runs of %v, same id %t", takes, sameID), func(t *testing.T) {
 				t.Parallel()
 				s := newLargeScenario(takes)
 				s.enableCrashes(nil, 800*time.Millisecond)
-				jobs := s.playOutages(takes, 0.4, 4, func(id string) {
+				jobs := s.runWithOutages(takes, 0.4, 4, func(id string) {
 					if sameID {
 						s.restartWorker(id, 800*time.Millisecond)
 						return
@@ -63,7 +63,7 @@
 				s.check(t)
 				for _, id := range jobs {
 					if state := s.jobState(id); state != workload.Completed {
-						t.Errorf("job %s is %s", id, state)
+						t.Errorf("job %s is %s, want completed", id, state)
 					}
 				}
 			})
@@ -71,11 +71,11 @@
 	}
 }
 
-// All workers started again at once, several times in some seconds, so that runs that take longer
-// were lost each time: jobs that crash nothing were given up with four and five crashes each, since
-// a crash that comes with others was taken off a task once (soak seed 72006, 8 of 24 plays with
-// two of the ways in which it failed).
-func TestJobsAreNotGivenUpForAPoolThatIsLostAgainAndAgain(t *testing.T) {
+// Guards against failing harmless jobs when all workers restart at once several times within
+// seconds, so that runs that take longer are lost each time. Jobs failed with four and five crashes
+// each, since only one crash of a task was excluded as part of an outage (soak seed 72006, 8 of 24
+// runs with two of the ways in which it failed).
+func TestJobsDoNotFailWhenPoolIsLostRepeatedly(t *testing.T) {
 	for _, share := range []float64{0.8, 1} {
 		for _, sameID := range []bool{true, false} {
 			t.Run(fmt.Sprintf("share %v, same id %t", share, sameID), func(t *testing.T) {
@@ -95,7 +95,7 @@
 				s.check(t)
 				for _, id := range jobs {
 					if state := s.jobState(id); state != workload.Completed {
-						t.Errorf("job %s is %s", id, state)
+						t.Errorf("job %s is %s, want completed", id, state)
 					}
 				}
 			})
@@ -103,8 +103,8 @@
 	}
 }
 
-// lose crashes a part of the workers in one moment; others come in their places, with their ids
-// or new ones.
+// crashShare crashes a share of the workers at once. They restart under their ids, or are followed
+// by workers with new ids.
 func (s *scenario) crashShare(share float64, sameID bool) {
 	for _, id := range sortedIDs(s.fleet.Workers) {
 		switch {
@@ -118,26 +118,27 @@
 	}
 }
 
-// Tasks that do crash their workers keep their bound beside such outages.
-func TestTasksThatCrashWorkersAreBoundedBesideOutages(t *testing.T) {
+// Jobs that crash their workers must fail, and not be started more often than allowed, during such
+// outages too.
+func TestCrashingTasksFailDespiteOutages(t *testing.T) {
 	for _, after := range crashDelays {
 		t.Run(after.String(), func(t *testing.T) {
 			t.Parallel()
 			const takes = 2500 * time.Millisecond
 			s := newLargeScenario(takes)
-			guilty := map[workload.JobID]time.Duration{}
+			crashAfter := map[workload.JobID]time.Duration{}
 			for i := range 5 {
-				guilty[crashingJob(i)] = after
+				crashAfter[crashingJob(i)] = after
 			}
-			s.enableCrashes(guilty, 800*time.Millisecond)
+			s.enableCrashes(crashAfter, 800*time.Millisecond)
 			for i := range 5 {
 				s.add(crashingJob(i), nil, workload.Step{Count: 1, Need: need(1), EstimateMS: takes.Milliseconds()})
 			}
-			s.playOutages(takes, 0.4, 4, func(id string) { s.restartWorker(id, 800*time.Millisecond) })
+			s.runWithOutages(takes, 0.4, 4, func(id string) { s.restartWorker(id, 800*time.Millisecond) })
 			s.check(t)
 			for i := range 5 {
 				if state := s.jobState(crashingJob(i)); state != workload.Failed {
-					t.Errorf("a job whose task crashed %d workers is %s", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
+					t.Errorf("a job whose task crashed %d workers is %s, want failed", s.crashes.crashCount[workload.TaskID{Job: crashingJob(i)}], state)
 				}
 			}
 		})
--- a/workload/control/unknown_ends_test.go
+++ b/workload/control/unknown_ends_test.go
@@ -8,8 +8,8 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// unknownScene is a planner that has just begun. Its worker lists the ends of a job's two tasks,
-// whose record has them as placed there.
+// unknownEndsScenario is a planner that has just started. Its worker reports the ends of a job's two
+// tasks, which are placed there according to the job's record.
 type unknownEndsScenario struct {
 	c   *Core
 	now time.Time
@@ -30,7 +30,8 @@
 	return workload.TaskID{Job: s.id, Index: index}
 }
 
-// adopt hands the job to the planner, with progress in which its tasks are at their first run.
+// adopt passes the job to the planner, with progress in which both tasks are placed for their first
+// run.
 func (s *unknownEndsScenario) adopt(t *testing.T) {
 	t.Helper()
 	progress := &workload.Progress{State: workload.Running, Begun: true, Next: 1}
@@ -43,10 +44,11 @@
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Begun: true, Progress: value})
 }
 
-// mostListed is how many ends a worker lists at a time.
+// maxListedEnds is the number of ends that a worker reports at a time.
 const maxListedEnds = 500
 
-// hold carries one hold out; the worker forgets what it is told to. It returns the cursor.
+// renew carries out one lease renewal. The worker forgets acknowledged ends. It returns the number
+// of the last acknowledged end.
 func (s *unknownEndsScenario) renew(rows ...EndedRow) int64 {
 	s.now = s.now.Add(500 * time.Millisecond)
 	order, _ := s.c.Hold("w0", s.now)
@@ -70,14 +72,13 @@
 	return s.c.Persisted(s.now)
 }
 
-// Guards against ends that are acknowledged although they changed no job's record: their tasks
-// would be started again.
-func TestAnEndOfAJobThatIsNotKnownYetIsNotAcknowledged(t *testing.T) {
+// If an end is acknowledged before it was applied to its job's record, its task is started again.
+func TestEndOfUnknownJobIsNotAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
 	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
 	for range 3 {
 		if cursor := s.renew(ends...); cursor > 0 {
-			t.Fatalf("ends up to %d are acknowledged while nothing is known of their job", cursor)
+			t.Fatalf("ends up to %d are acknowledged while their job is unknown", cursor)
 		}
 		s.round()
 	}
@@ -85,7 +86,7 @@
 	for range 3 {
 		s.renew(ends...)
 		if starts := s.round(); len(starts) > 0 {
-			t.Fatalf("%v starts again after it was done", starts[0].Task)
+			t.Fatalf("%v is started again after it was done", starts[0].Task)
 		}
 	}
 	if j := s.c.jobs[s.id]; j != nil && j.progress.State != workload.Completed {
@@ -96,21 +97,21 @@
 	}
 }
 
-// Ends whose job is known to be over, or that is not known for longer than any earlier planner's
-// runs last, hold nothing up.
-func TestAnEndOfAJobThatIsOverIsAcknowledged(t *testing.T) {
-	for name, over := range map[string]func(*unknownEndsScenario){
-		"it has ended": func(s *unknownEndsScenario) {
+// The end of a finished job must be acknowledged, and so must the end of a job that is still unknown
+// when no run of an earlier planner can be left.
+func TestEndOfFinishedJobIsAcknowledged(t *testing.T) {
+	for name, finish := range map[string]func(*unknownEndsScenario){
+		"finished, with progress": func(s *unknownEndsScenario) {
 			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Completed, Settled: true, Progress: []byte(`{"state":"completed","begun":true,"next":1}`)})
 		},
-		"it is shown as ended": func(s *unknownEndsScenario) {
+		"finished, without progress": func(s *unknownEndsScenario) {
 			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Completed, Begun: true})
 		},
-		"nothing was known of it for long": func(s *unknownEndsScenario) { s.now = s.c.inheritedLeasesEnd },
+		"unknown until all inherited leases have expired": func(s *unknownEndsScenario) { s.now = s.c.inheritedLeasesEnd },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newUnknownEndsScenario()
-			over(s)
+			finish(s)
 			end := EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndStopped}
 			for range 3 {
 				s.renew(end)
@@ -123,28 +124,30 @@
 	}
 }
 
-// Guards against a job that begins anew because its progress was not read.
-func TestAJobThatHasBegunIsNotAdoptedWithoutItsProgress(t *testing.T) {
+// A job that has started must not be restarted from the beginning because its progress has not been
+// read yet.
+func TestStartedJobIsNotAdoptedWithoutProgress(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.renew()
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Begun: true})
 	if starts := s.round(); len(starts) > 0 {
-		t.Fatalf("%v starts although nothing is known of the runs before", starts[0].Task)
+		t.Fatalf("%v is started although its earlier runs are unknown", starts[0].Task)
 	}
 	s.adopt(t)
 	if s.c.jobs[s.id] == nil {
-		t.Fatal("the job is not taken over once its progress is there")
+		t.Fatal("the job is not adopted once its progress was read")
 	}
 }
 
-// A reduced acceptance stands for a job that has ended.
-func TestAJobWhoseAcceptanceIsReducedDoesNotBegin(t *testing.T) {
+// A job with a reduced acceptance record has ended: it must not be started, and its ends are
+// acknowledged.
+func TestJobWithReducedAcceptanceIsNotStarted(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.renew()
 	s.job.Reduced, s.job.Steps = true, nil
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Queued})
 	if s.c.jobs[s.id] != nil {
-		t.Fatal("a job that has ended is taken over")
+		t.Fatal("a job that has ended was adopted")
 	}
 	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
 	s.round()
@@ -154,8 +157,9 @@
 	}
 }
 
-// An occurrence that the record has not created yet is as unknown as a run that is ahead of it.
-func TestAnEndOfAnOccurrenceThatIsNotThereYetIsNotAcknowledged(t *testing.T) {
+// The end of an occurrence that the job's record does not contain yet must not be acknowledged, like
+// the end of a run that is newer than the record.
+func TestEndOfUncreatedOccurrenceIsNotAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.job.Repetitions, s.job.FirstMS, s.job.IntervalMS = 10, s.now.UnixMilli()+3_600_000, 1000
 	progress := &workload.Progress{State: workload.Running, Begun: true, Next: 2}
@@ -165,35 +169,36 @@
 	}
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Begun: true, Progress: value})
 	if s.c.jobs[s.id] == nil {
-		t.Fatal("the job is not taken over")
+		t.Fatal("the job was not adopted")
 	}
 	end := EndedRow{Number: 1, Task: workload.TaskID{Job: s.id, K: 2}, Run: 1, How: EndDone}
 	for range 3 {
 		if cursor := s.renew(end); cursor > 0 {
-			t.Fatal("the end of an occurrence that the record lacks is acknowledged")
+			t.Fatal("the end of an occurrence that is not in the record was acknowledged")
 		}
 		s.round()
 	}
 }
 
-// A job that is taken for a new one has no occurrence before the first round.
-func TestAnEndOfAJobTakenForNewIsNotAcknowledged(t *testing.T) {
+// A job without progress is adopted as a new one and has no occurrences before the first round. Ends
+// of its tasks must not be acknowledged until then.
+func TestEndIsNotAcknowledgedBeforeFirstRoundOfNewJob(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Queued})
 	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
 	for range 4 {
 		cursor := s.renew(ends...)
 		if j := s.c.jobs[s.id]; cursor > 0 && j != nil && !j.progress.State.Final() {
-			t.Fatalf("ends up to %d are acknowledged, and changed no record", cursor)
+			t.Fatalf("ends up to %d are acknowledged although they changed no record", cursor)
 		}
 		s.round()
 	}
 }
 
-// A worker lists 500 ends at a time: a run that is in neither list may be among the ends that
-// were left out.
-func TestARunWhoseEndIsNotListedYetHasNotVanished(t *testing.T) {
-	for name, unknown := range map[string]bool{"all are known": false, "the first is unknown": true} {
+// A worker reports at most 500 ends at a time. A run that is neither among the running ones nor among
+// these ends may have ended too, and must not be restarted.
+func TestRunMissingFromTruncatedEndListIsNotRestarted(t *testing.T) {
+	for name, unknown := range map[string]bool{"all ends known": false, "first end unknown": true} {
 		t.Run(name, func(t *testing.T) {
 			const tasks = maxListedEnds + 20
 			s := newUnknownEndsScenario()
@@ -202,11 +207,11 @@
 			s.renew()
 			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Queued})
 			ordered := map[workload.TaskID]int64{}
-			again := 0
+			restarted := 0
 			order := func() {
 				for _, o := range s.round() {
 					if ordered[o.Task] != 0 {
-						again++
+						restarted++
 					}
 					ordered[o.Task] = o.Run
 					s.c.Started(o, Answer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000}, s.now)
@@ -226,24 +231,24 @@
 			for id, run := range ordered {
 				ends = append(ends, EndedRow{Number: int64(len(ends) + 1), Task: id, Run: run, How: EndDone})
 			}
-			forgotten := int64(0)
-			for i := 0; i < 20 && again == 0; i++ {
+			acknowledged := int64(0)
+			for i := 0; i < 20 && restarted == 0; i++ {
 				listed := ends
-				for len(listed) > 0 && listed[0].Number <= forgotten {
+				for len(listed) > 0 && listed[0].Number <= acknowledged {
 					listed = listed[1:]
 				}
-				forgotten = max(forgotten, s.renew(listed...))
+				acknowledged = max(acknowledged, s.renew(listed...))
 				order()
 			}
-			if again > 0 {
-				t.Errorf("%d tasks began again that were done and whose ends came with a later page", again)
+			if restarted > 0 {
+				t.Errorf("%d tasks were restarted that were done and whose ends came with a later page", restarted)
 			}
 		})
 	}
 }
 
-// What is kept of a worker ends with it.
-func TestAWorkerThatLeftWithUnknownEndsIsLetGo(t *testing.T) {
+// The state of a worker that has left must be dropped, even if it has unacknowledged ends.
+func TestDepartedWorkerWithUnknownEndsIsForgotten(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
 	s.round()
@@ -253,16 +258,16 @@
 		s.round()
 	}
 	if s.c.workers["w0"] != nil {
-		t.Fatal("the worker is still known")
+		t.Fatal("the worker was not dropped")
 	}
 	if n := len(s.c.unpersisted); n > 0 {
-		t.Errorf("%d workers that have left are kept for their ends", n)
+		t.Errorf("the ends of %d departed workers were not dropped", n)
 	}
 }
 
-// A job with an unreadable record is left aside, as the log of changes says.
-func TestAJobWithAnUnreadableRecordIsLeftAside(t *testing.T) {
-	for name, begun := range map[string]bool{"nothing is stated of it": false, "it is stated as begun": true} {
+// A job whose progress record can't be read must not be started from the beginning.
+func TestJobWithUnreadableProgressIsNotAdopted(t *testing.T) {
+	for name, begun := range map[string]bool{"without stated state": false, "stated as begun": true} {
 		t.Run(name, func(t *testing.T) {
 			b := workload.NewBook()
 			job := &workload.Job{ID: "00000000000000aa", Queue: "q", Steps: []workload.Step{{Count: 2, EstimateMS: 2000, Need: workload.Resources{Accelerators: 1}}}}
@@ -279,25 +284,26 @@
 				}
 			}
 			if b.Fold(1, workload.ProgressKey(job.ID), []byte("[")) == nil {
-				t.Fatal("the record is readable")
+				t.Fatal("the record was read without an error")
 			}
 			if !b.Complete() {
-				t.Fatal("the book waits for a record that was read")
+				t.Fatal("the book is incomplete although all records were read")
 			}
 			s := newUnknownEndsScenario()
 			b.All(s.c.Adopt)
 			if s.c.Jobs() > 0 {
-				t.Error("a job whose progress can't be read is begun anew")
+				t.Error("a job whose progress can't be read was adopted")
 			}
 		})
 	}
 }
 
-// A worker with nothing at work is asked again for an end that was not acknowledged.
-func TestAnIdleWorkersUnknownEndIsAcknowledgedInTheEnd(t *testing.T) {
+// A worker on which nothing runs must be polled again, but not too often, until its end is
+// acknowledged.
+func TestIdleWorkerIsPolledUntilItsUnknownEndIsAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
 	end := EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone}
-	asked := 0
+	polls := 0
 	for range 60 {
 		s.now = s.now.Add(500 * time.Millisecond)
 		for _, id := range s.c.NeedsHold(s.now) {
@@ -305,7 +311,7 @@
 			if !ok {
 				continue
 			}
-			asked++
+			polls++
 			answer := HoldAnswer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000}
 			if order.Cursor < end.Number {
 				answer.Ended = []EndedRow{end}
@@ -315,29 +321,30 @@
 		s.round()
 	}
 	if cursor := s.c.workers["w0"].acknowledgedEnd; cursor != 1 {
-		t.Errorf("ends up to %d are acknowledged after %d holds, want 1", cursor, asked)
+		t.Errorf("ends up to %d are acknowledged after %d polls, want 1", cursor, polls)
 	}
-	if asked > 40 {
-		t.Errorf("an idle worker was asked %d times for one end", asked)
+	if polls > 40 {
+		t.Errorf("an idle worker was polled %d times for one end", polls)
 	}
 }
 
-// The end of a run that is ahead of its record is kept until the record has it.
-func TestAnEndAheadOfItsRecordIsNotAcknowledged(t *testing.T) {
+// The end of a run that is newer than the job's record must not be acknowledged before the record
+// contains it.
+func TestEndOfRunAheadOfRecordIsNotAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.adopt(t)
 	for range 3 {
 		cursor := s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 2, How: EndDone})
 		if task := s.c.jobs[s.id].progress.Find(s.task(0)); cursor > 0 && task.Phase != workload.Done {
-			t.Fatalf("an end that is ahead of its record is acknowledged, which has %+v", *task)
+			t.Fatalf("an end was acknowledged whose run is newer than its record, %+v", *task)
 		}
 		s.c.Changes()
 		s.c.Persisted(s.now)
 	}
 }
 
-// Ends of a job that has ended under this planner hold nothing up.
-func TestAnEndOfAJobThatEndedInThisTermIsAcknowledged(t *testing.T) {
+// A late end of a job that has ended under this planner must be acknowledged.
+func TestLateEndOfJobFinishedByThisPlannerIsAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.adopt(t)
 	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
@@ -346,7 +353,7 @@
 		s.round()
 	}
 	if s.c.jobs[s.id] != nil {
-		t.Fatal("the job is not forgotten")
+		t.Fatal("the job was not dropped")
 	}
 	for range 3 {
 		s.renew(append(ends, EndedRow{Number: 3, Task: s.task(1), Run: 2, How: EndStopped})...)
@@ -357,8 +364,8 @@
 	}
 }
 
-// An end of an unknown job that is acknowledged has a line, however late it is listed.
-func TestAnUnknownEndThatIsAcknowledgedHasALine(t *testing.T) {
+// An end of an unknown job must not be acknowledged without an event, however late it is reported.
+func TestAcknowledgedUnknownEndEmitsEvent(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.renew()
 	s.now = s.c.inheritedLeasesEnd
@@ -369,5 +376,5 @@
 			return
 		}
 	}
-	t.Error("the end of a job that the planner does not know is passed over without a line")
+	t.Error("no event for the end of an unknown job")
 }
