--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -46,6 +46,6 @@
 func platformDemo(env Env, faults bool) error {
 	return platformdemo.Run(platformdemo.Options{
 		Instances: platformInstances, Jobs: platformJobs, Faults: faults,
-		Report: env.Out, Log: io.Discard, Most: platformMost,
+		Report: env.Out, Log: io.Discard, Timeout: platformMost,
 	})
 }
