--- a/demo/load.go
+++ b/demo/load.go
@@ -142,7 +142,7 @@
 // balancer would: again with the same id, at another instance, not before it
 // was told to.
 func (l *load) request(class domain.ClassName, account domain.AccountID, id string, millis int) {
-	body, _ := json.Marshal(standin.Work{Take: domain.Duration(time.Duration(millis) * time.Millisecond), Stream: millis%4 == 0, Size: 100 * millis})
+	body, _ := json.Marshal(standin.Work{Duration: domain.Duration(time.Duration(millis) * time.Millisecond), Stream: millis%4 == 0, Size: 100 * millis})
 	l.with(class, func(t *tally) { t.submitted++ })
 	expectation := l.c.declared.Classes[class].Expectation.Std()
 	began := time.Now()
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -18,75 +18,76 @@
 
 // Work is the request body that the backend stand-in understands.
 type Work struct {
-	// Take is how long the work takes in a slot.
-	Take domain.Duration `json:"take"`
-	// Size is the answer's size in bytes, beyond its first line.
+	// Duration is how long the work occupies a slot.
+	Duration domain.Duration `json:"take"`
+	// Size is the size of the answer after its first line, in bytes.
 	Size int `json:"size,omitempty"`
 	// Stream answers in chunks of unknown length with an end marker.
 	Stream bool `json:"stream,omitempty"`
 }
 
-// BackendFaults are the faults of a backend server that can be switched on.
+// BackendFaults configures the faults of a backend server.
 type BackendFaults struct {
 	// Slow multiplies the time that work takes; 0 means 1.
 	Slow float64 `json:"slow"`
-	// FailFast answers 500 at once, without doing the work.
+	// FailFast answers 500 immediately, without doing the work.
 	FailFast bool `json:"fail_fast"`
-	// Truncate cuts answers short.
+	// Truncate closes the connection in the middle of an answer.
 	Truncate bool `json:"truncate"`
 	// Swap answers with another request's id.
 	Swap bool `json:"swap"`
 	// DropAfter does the work and closes the connection without an answer.
 	DropAfter bool `json:"drop_after"`
-	// Leaving refuses new work and says that it is leaving.
+	// Leaving refuses new work and announces in a header that the server is leaving.
 	Leaving bool `json:"leaving"`
 }
 
-// Backend is a backend server: a few slots and a queue. Safe for concurrent
-// use.
+// Backend is a backend server with a number of slots and a queue. It is safe for
+// concurrent use.
 type Backend struct {
 	Spec  domain.BackendServer
 	slots chan struct{}
 	load  atomic.Int64
 
-	mu     sync.Mutex
-	faults BackendFaults
-	ran    map[string]int
-	last   time.Time
+	mu        sync.Mutex
+	faults    BackendFaults
+	runs      map[string]int
+	lastStart time.Time
 }
 
 // NewBackend returns a server without faults.
 func NewBackend(spec domain.BackendServer) *Backend {
-	return &Backend{Spec: spec, slots: make(chan struct{}, spec.Slots), ran: map[string]int{}}
+	return &Backend{Spec: spec, slots: make(chan struct{}, spec.Slots), runs: map[string]int{}}
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the server's faults.
 func (b *Backend) SetFaults(f BackendFaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
 }
 
-// Ran returns how often each request's work was begun, by account and id.
+// Ran returns how often the work of each request was started. The keys are
+// "account/id".
 func (b *Backend) Ran() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]int, len(b.ran))
-	for id, n := range b.ran {
+	out := make(map[string]int, len(b.runs))
+	for id, n := range b.runs {
 		out[id] = n
 	}
 	return out
 }
 
-// LastBegan returns when the newest work was begun.
-func (b *Backend) LastBegan() time.Time {
+// LastStart returns the time at which work was last started.
+func (b *Backend) LastStart() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.last
+	return b.lastStart
 }
 
-// Answer is the first line of the answer to a request, which proves that it is
-// the answer to that request and no other.
+// Answer returns the first line of the answer to a request. It is a hash of the
+// request, so callers can detect the answer to another one.
 func Answer(account, id string, body []byte) string {
 	sum := sha256.Sum256(append([]byte(account+"/"+id+"/"), body...))
 	return hex.EncodeToString(sum[:]) + "\n"
@@ -130,14 +131,14 @@
 	}
 	defer func() { <-b.slots }()
 	b.mu.Lock()
-	b.ran[r.Header.Get(port.HeaderAccount)+"/"+r.Header.Get(port.HeaderID)]++
-	b.last = time.Now()
+	b.runs[r.Header.Get(port.HeaderAccount)+"/"+r.Header.Get(port.HeaderID)]++
+	b.lastStart = time.Now()
 	b.mu.Unlock()
 	var work Work
 	if err := json.Unmarshal(body, &work); err != nil {
-		return true // a body that is not understood takes no time
+		return true // a body that can't be parsed takes no time
 	}
-	take := work.Take.Std()
+	take := work.Duration.Std()
 	if faults.Slow > 0 {
 		take = time.Duration(float64(take) * faults.Slow)
 	}
@@ -154,7 +155,7 @@
 		w.Header().Set(port.HeaderID, id+"-other")
 	}
 	var work Work
-	_ = json.Unmarshal(body, &work) // a body that is not understood has no size
+	_ = json.Unmarshal(body, &work) // a body that can't be parsed has no size
 	first := Answer(r.Header.Get(port.HeaderAccount), id, body)
 	w.Header().Set("Content-Type", "text/plain")
 	if work.Stream {
@@ -167,19 +168,19 @@
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(w, first)
-	writeFill(w, work)
+	writePadding(w, work)
 	if work.Stream {
 		w.Header().Set(port.HeaderEnd, id)
 	}
 }
 
-// fillChunk is the size of one write of an answer's filling, in bytes.
-const fillChunk = 4096
+// paddingChunk is the size of one write of an answer's padding, in bytes.
+const paddingChunk = 4096
 
-func writeFill(w http.ResponseWriter, work Work) {
-	chunk := make([]byte, fillChunk)
-	for left := work.Size; left > 0; left -= fillChunk {
-		if _, err := w.Write(chunk[:min(left, fillChunk)]); err != nil {
+func writePadding(w http.ResponseWriter, work Work) {
+	chunk := make([]byte, paddingChunk)
+	for left := work.Size; left > 0; left -= paddingChunk {
+		if _, err := w.Write(chunk[:min(left, paddingChunk)]); err != nil {
 			return
 		}
 		if f, ok := w.(http.Flusher); ok && work.Stream {
@@ -188,5 +189,5 @@
 	}
 }
 
-// String names the backend in test output.
+// String returns the backend's name in test output.
 func (b *Backend) String() string { return fmt.Sprintf("backend server %s", b.Spec.ID) }
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls the platform's services over HTTP with JSON bodies.
+// Package client is a client of the platform's HTTP and JSON services.
 package client
 
 import (
@@ -22,47 +22,48 @@
 // HeaderDataCentre carries the caller's data centre.
 const HeaderDataCentre = "Cobalttide-Data-Centre"
 
-// maxAnswer bounds what is read of one answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the part of a response that is read.
+const maxResponseBytes = 64 << 20
 
-// callTimeout bounds a call whose context has no deadline of its own.
+// callTimeout bounds each call, in addition to its context's deadline.
 const callTimeout = 5 * time.Second
 
-// Client is a client of the platform. Safe for concurrent use.
+// Client is a client of the platform. It is safe for concurrent use.
 type Client struct {
-	// LogAddress, ListAddress are IP and port.
+	// LogAddress and ListAddress are "IP:port".
 	LogAddress, ListAddress string
-	// DataCentre is sent along, so that a stand-in knows whom to cut off.
+	// DataCentre is sent in HeaderDataCentre, so that a stand-in can cut off a data
+	// centre.
 	DataCentre domain.DataCentre
 	HTTP       *http.Client
 	received   atomic.Int64
 	sent       atomic.Int64
 }
 
-// Bytes returns what has crossed the client's sockets.
+// Bytes returns the number of bytes received and sent on the client's connections.
 func (c *Client) Bytes() (received, sent int64) { return c.received.Load(), c.sent.Load() }
 
-// countedConn counts what crosses a socket.
-type countedConn struct {
+// countingConn counts the bytes received and sent on a connection.
+type countingConn struct {
 	net.Conn
 	client *Client
 }
 
 // Read implements net.Conn.
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.client.received.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.client.sent.Add(int64(n))
 	return n, err
 }
 
-// New returns a client with connections of its own.
+// New returns a client with its own connection pool.
 func New(logAddress, listAddress string, dc domain.DataCentre) *Client {
 	c := &Client{LogAddress: logAddress, ListAddress: listAddress, DataCentre: dc}
 	dialer := &net.Dialer{Timeout: callTimeout}
@@ -73,7 +74,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return countedConn{conn, c}, nil
+			return countingConn{conn, c}, nil
 		},
 	}}
 	return c
@@ -91,14 +92,14 @@
 	Records []port.Record `json:"records"`
 }
 
-// AppendAnswer is its answer.
-type AppendAnswer struct {
+// AppendResponse is the response to an append.
+type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
-// lacks is the error of an answer without a field: what it does not say is not
-// known to be empty.
-func lacks(field string) error { return errors.Newf("the platform's answer lacks %s", field) }
+// missingField returns the error for a response without a required field. A missing
+// field must not be taken for an empty value.
+func missingField(field string) error { return errors.Newf("the platform's response lacks %s", field) }
 
 // Append implements port.Log.
 func (c *Client) Append(ctx context.Context, stream port.Stream, records []port.Record) (int64, error) {
@@ -109,7 +110,7 @@
 		return 0, err
 	}
 	if answer.Offset == nil {
-		return 0, lacks("the offset")
+		return 0, missingField("the offset")
 	}
 	return *answer.Offset, nil
 }
@@ -127,7 +128,7 @@
 		return port.Page{}, err
 	}
 	if answer.Oldest == nil || answer.Next == nil || answer.End == nil {
-		return port.Page{}, lacks("an offset")
+		return port.Page{}, missingField("an offset")
 	}
 	return port.Page{Entries: answer.Entries, Oldest: *answer.Oldest, Next: *answer.Next, End: *answer.End}, nil
 }
@@ -139,7 +140,7 @@
 		return port.Inventory{}, err
 	}
 	if v := inventory.Versions; v.Instances == "" || v.Workers == "" || v.Backends == "" {
-		return port.Inventory{}, lacks("a list's version")
+		return port.Inventory{}, missingField("a list's version")
 	}
 	return inventory, nil
 }
@@ -151,7 +152,7 @@
 		return port.Report{}, err
 	}
 	if report.Boot == "" {
-		return port.Report{}, lacks("the worker's boot")
+		return port.Report{}, missingField("the worker's boot")
 	}
 	return report, nil
 }
@@ -169,7 +170,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "make the request")
+		return errors.Wrap(err, "create the request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(HeaderDataCentre, string(c.DataCentre))
@@ -178,12 +179,12 @@
 		return errors.Wrap(err, "call the platform")
 	}
 	defer func() { _ = response.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Wrap(err, "read the platform's answer")
+		return errors.Wrap(err, "read the platform's response")
 	}
 	if response.StatusCode != http.StatusOK {
-		return errors.Newf("the platform answered %d: %.200s", response.StatusCode, raw)
+		return errors.Newf("the platform returned status %d: %.200s", response.StatusCode, raw)
 	}
-	return errors.Wrap(json.Unmarshal(raw, answer), "decode the platform's answer")
+	return errors.Wrap(json.Unmarshal(raw, answer), "decode the platform's response")
 }
--- a/standin/client/client_test.go
+++ b/standin/client/client_test.go
@@ -11,8 +11,8 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// What an answer lacks is not empty: no log that ends at 0, no append at 0, no lists without workers, no worker that has restarted.
-func TestAnAnswerThatLacksItsFieldsIsAnError(t *testing.T) {
+// Guards against missing fields that are taken for zero values: a log that ends at 0, an append at offset 0, lists without workers, a restarted worker.
+func TestResponseWithMissingFieldsIsAnError(t *testing.T) {
 	ctx := context.Background()
 	calls := map[string]func(*Client) error{
 		"append": func(c *Client) error { _, err := c.Append(ctx, "s", nil); return err },
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -16,17 +16,18 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Fleet describes what a stand-in platform has.
+// Fleet describes the machines of a stand-in platform.
 type Fleet struct {
 	DataCentres []FleetDataCentre `json:"data_centres"`
-	// LogKeep bounds the records a stream of the log holds; 0 keeps all.
+	// LogKeep limits the number of records that a stream of the log keeps; 0 keeps all.
 	LogKeep int `json:"log_keep,omitempty"`
 }
 
 // FleetDataCentre describes one data centre of a fleet.
 type FleetDataCentre struct {
 	Name domain.DataCentre `json:"name"`
-	// Racks and WorkersPerRack give the workers, Capacity what each has.
+	// Racks and WorkersPerRack give the number of workers, Capacity the resources of
+	// each worker.
 	Racks          int              `json:"racks"`
 	WorkersPerRack int              `json:"workers_per_rack"`
 	Capacity       domain.Resources `json:"capacity"`
@@ -35,21 +36,21 @@
 	Slots   int `json:"slots"`
 }
 
-// LoadFleet reads a fleet's description, JSON with comments.
+// LoadFleet reads the description of a fleet from a file of JSON with comments.
 func LoadFleet(file string) (Fleet, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return Fleet{}, errors.Wrap(err, "read the fleet's description")
+		return Fleet{}, errors.Wrap(err, "read the fleet description")
 	}
 	standard, err := hujson.Standardize(raw)
 	if err != nil {
 		return Fleet{}, errors.Wrapf(err, "%s is not JSON with comments", file)
 	}
 	var fleet Fleet
-	return fleet, errors.Wrapf(json.Unmarshal(standard, &fleet), "%s is not a fleet's description", file)
+	return fleet, errors.Wrapf(json.Unmarshal(standard, &fleet), "%s is not a fleet description", file)
 }
 
-// Workers lists the fleet's workers. Their agents are all at one address.
+// Workers returns the fleet's workers. All their agents have the given address.
 func (f Fleet) Workers(address string) []domain.Worker {
 	var out []domain.Worker
 	for _, dc := range f.DataCentres {
@@ -71,18 +72,18 @@
 	*Platform
 	Address string
 	servers []*http.Server
-	wg      sync.WaitGroup
+	serving sync.WaitGroup
 }
 
-// readWait is how long an empty read of the log waits.
-const readWait = time.Second
+// readTimeout is how long a read at the end of the log waits for a record.
+const readTimeout = time.Second
 
-// Start serves a fleet: the platform at address, and each backend server on a
-// port of its own at the same IP, chosen by the operating system.
+// Start serves a fleet: the platform at address, and each backend server at the
+// same IP on a port chosen by the operating system.
 func Start(fleet Fleet, address string) (*Running, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for the platform; use another -listen address")
+		return nil, errors.Wrap(err, "listen on the platform's address; use another -listen address")
 	}
 	r := &Running{Address: listener.Addr().String()}
 	began := time.Now()
@@ -93,10 +94,10 @@
 	}
 	backends, err := r.startBackends(fleet)
 	if err != nil {
-		_ = listener.Close() // the stand-in does not start
+		_ = listener.Close()
 		return nil, err
 	}
-	log := NewLog(readWait)
+	log := NewLog(readTimeout)
 	log.Keep = fleet.LogKeep
 	r.Platform = NewPlatform(log, workers, backends)
 	r.serve(listener, r.Handler())
@@ -106,7 +107,7 @@
 func (r *Running) startBackends(fleet Fleet) ([]*Backend, error) {
 	host, _, err := net.SplitHostPort(r.Address)
 	if err != nil {
-		return nil, errors.Wrap(err, "the platform's address")
+		return nil, errors.Wrap(err, "split the platform's address")
 	}
 	var out []*Backend
 	for _, dc := range fleet.DataCentres {
@@ -129,20 +130,20 @@
 func (r *Running) serve(listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	r.servers = append(r.servers, server)
-	r.wg.Add(1)
+	r.serving.Add(1)
 	go func() {
-		defer r.wg.Done()
-		_ = server.Serve(listener) // it ends when Stop closes it
+		defer r.serving.Done()
+		_ = server.Serve(listener) // returns when Stop closes the server
 	}()
 }
 
-// Stop ends the stand-in.
+// Stop stops the stand-in.
 func (r *Running) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	for _, server := range r.servers {
-		_ = server.Shutdown(ctx) // what is left is cut below
+		_ = server.Shutdown(ctx) // Close ends the remaining connections
 		_ = server.Close()
 	}
-	r.wg.Wait()
+	r.serving.Wait()
 }
--- a/standin/log.go
+++ b/standin/log.go
@@ -11,29 +11,29 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// LogFaults are the faults of the log service that can be switched on.
+// LogFaults configures the faults of the log service.
 type LogFaults struct {
 	// Down refuses every call before it has an effect.
 	Down bool `json:"down"`
 	// Slow delays every call.
 	Slow domain.Duration `json:"slow"`
-	// LoseAnswers lets that many appends take effect and then fail.
+	// LoseAnswers is the number of appends that take effect but return an error.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// ErrLogDown is the stand-in's answer while it is down.
+// ErrLogDown is returned by all calls while LogFaults.Down is set.
 var ErrLogDown = errors.New("log service is down")
 
-// Log is an append-only log in memory. Safe for concurrent use.
+// Log is an append-only log in memory. It is safe for concurrent use.
 type Log struct {
 	mu      sync.Mutex
 	streams map[port.Stream]*stream
 	faults  LogFaults
 	appends int
 	records int
-	// Keep bounds the records that a stream holds; 0 keeps all.
+	// Keep limits the number of records that a stream keeps; 0 keeps all.
 	Keep int
-	// Wait bounds how long an empty read waits for a record.
+	// Wait bounds how long a read at the end of a stream waits for a record.
 	Wait time.Duration
 }
 
@@ -43,26 +43,27 @@
 	changed chan struct{}
 }
 
-// NewLog returns an empty log whose empty reads wait for up to wait.
+// NewLog returns an empty log. Reads at the end of a stream wait up to the given time
+// for a record.
 func NewLog(wait time.Duration) *Log {
 	return &Log{streams: map[port.Stream]*stream{}, Wait: wait}
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the log's faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (l *Log) Faults() LogFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
 }
 
-// Counts returns the appends and records taken so far.
+// Counts returns the numbers of appends and of records that took effect so far.
 func (l *Log) Counts() (appends, records int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 	l.appends++
 	l.records += len(records)
-	s.expire(l.Keep)
+	s.truncate(l.Keep)
 	close(s.changed)
 	s.changed = make(chan struct{})
 	if l.faults.LoseAnswers > 0 {
@@ -117,7 +118,7 @@
 	return first, nil
 }
 
-func (s *stream) expire(keep int) {
+func (s *stream) truncate(keep int) {
 	if keep <= 0 || len(s.entries) <= keep {
 		return
 	}
@@ -126,7 +127,7 @@
 	s.oldest += int64(drop)
 }
 
-// Expire drops a stream's oldest records, down to the number given.
+// Expire drops the oldest records of a stream so that at most keep remain.
 func (l *Log) Expire(name port.Stream, keep int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,7 +137,7 @@
 	s.oldest += int64(drop)
 }
 
-// maxPage bounds the entries of one page.
+// maxPage limits the number of entries of one page.
 const maxPage = 2000
 
 // Read implements port.Log.
--- a/standin/server.go
+++ b/standin/server.go
@@ -15,54 +15,54 @@
 	"github.com/cobalttide/cobalttide/standin/client"
 )
 
-// ListFaults are the faults of the platform's lists.
+// ListFaults configures the faults of the platform's lists.
 type ListFaults struct {
 	// Down refuses every call.
 	Down bool `json:"down"`
-	// Lag keeps what has left the list on it for that long.
+	// Lag is how much longer instances that have left stay on the list.
 	Lag domain.Duration `json:"lag"`
 }
 
-// FaultRequest switches the faults of one part of the stand-in. Exactly one
-// field is set.
+// FaultRequest replaces the faults of one part of the stand-in. Exactly one of Log,
+// List, Worker, Backend and Cut is set.
 type FaultRequest struct {
 	Log     *LogFaults  `json:"log,omitempty"`
 	List    *ListFaults `json:"list,omitempty"`
 	Worker  string      `json:"worker,omitempty"`
 	Backend string      `json:"backend,omitempty"`
-	// WorkerFaults and BackendFaults go with Worker and Backend.
+	// WorkerFaults applies to Worker, BackendFaults to Backend.
 	WorkerFaults  WorkerFaults  `json:"worker_faults"`
 	BackendFaults BackendFaults `json:"backend_faults"`
-	// Cut lists data centres that the platform's log and list don't answer.
+	// Cut lists the data centres whose calls to the log and the lists are rejected.
 	Cut *[]domain.DataCentre `json:"cut,omitempty"`
 }
 
-// listLife is how long an instance stays on the list without being heard of.
-const listLife = 3 * time.Second
+// listTTL is how long an instance stays on the list after its last query.
+const listTTL = 3 * time.Second
 
-type listed struct {
+type listedInstance struct {
 	port.ListedInstance
 	seen time.Time
 }
 
-// Platform serves a whole stand-in platform. Safe for concurrent use.
+// Platform serves a whole stand-in platform. It is safe for concurrent use.
 type Platform struct {
 	Log      *Log
 	workers  map[domain.WorkerID]*Worker
 	backends []*Backend
 
-	mu        sync.Mutex
-	instances map[domain.InstanceID]listed
-	list      ListFaults
-	cut       map[domain.DataCentre]bool
-	down      map[domain.WorkerID]bool
+	mu         sync.Mutex
+	instances  map[domain.InstanceID]listedInstance
+	listFaults ListFaults
+	cut        map[domain.DataCentre]bool
+	down       map[domain.WorkerID]bool
 }
 
-// NewPlatform returns a platform with the workers and backend servers given.
+// NewPlatform returns a platform with the given log, workers and backend servers.
 func NewPlatform(log *Log, workers []*Worker, backends []*Backend) *Platform {
 	p := &Platform{
 		Log: log, workers: map[domain.WorkerID]*Worker{}, backends: backends,
-		instances: map[domain.InstanceID]listed{}, cut: map[domain.DataCentre]bool{}, down: map[domain.WorkerID]bool{},
+		instances: map[domain.InstanceID]listedInstance{}, cut: map[domain.DataCentre]bool{}, down: map[domain.WorkerID]bool{},
 	}
 	for _, w := range workers {
 		p.workers[w.Spec.ID] = w
@@ -79,13 +79,13 @@
 	return out
 }
 
-// Worker returns a worker by id, or nil.
+// Worker returns the worker with the given id, or nil if there is none.
 func (p *Platform) Worker(id domain.WorkerID) *Worker { return p.workers[id] }
 
 // Backends returns the backend servers.
 func (p *Platform) Backends() []*Backend { return p.backends }
 
-// SetCut cuts data centres off from the log and the lists.
+// SetCut disconnects exactly the given data centres from the log and the lists.
 func (p *Platform) SetCut(dcs ...domain.DataCentre) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,24 +102,25 @@
 	p.down[id] = down
 }
 
-// Handler serves the log, the lists, the workers' agents and the switches.
+// Handler returns the handler of the log, the lists, the workers' agents and the
+// fault switches.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /log/append", p.reachable(p.append))
-	mux.HandleFunc("GET /log/read", p.reachable(p.read))
-	mux.HandleFunc("POST /list", p.reachable(p.serveList))
-	mux.HandleFunc("POST /workers/{id}/do", p.work)
-	mux.HandleFunc("POST /faults", p.setFaults)
+	mux.HandleFunc("POST /log/append", p.rejectCut(p.handleAppend))
+	mux.HandleFunc("GET /log/read", p.rejectCut(p.handleRead))
+	mux.HandleFunc("POST /list", p.rejectCut(p.handleList))
+	mux.HandleFunc("POST /workers/{id}/do", p.handleCommand)
+	mux.HandleFunc("POST /faults", p.handleFaults)
 	return mux
 }
 
-func (p *Platform) reachable(next http.HandlerFunc) http.HandlerFunc {
+func (p *Platform) rejectCut(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		cut := p.cut[domain.DataCentre(r.Header.Get(client.HeaderDataCentre))]
 		p.mu.Unlock()
 		if cut {
-			http.Error(w, "cut off", http.StatusBadGateway)
+			http.Error(w, "data centre is cut off", http.StatusBadGateway)
 			return
 		}
 		next(w, r)
@@ -128,7 +129,7 @@
 
 func reply(w http.ResponseWriter, answer any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // the caller notices a cut connection
+	_ = json.NewEncoder(w).Encode(answer) // the caller detects a closed connection
 }
 
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
@@ -139,7 +140,7 @@
 	return true
 }
 
-func (p *Platform) append(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleAppend(w http.ResponseWriter, r *http.Request) {
 	var request client.AppendRequest
 	if !decode(w, r, &request) {
 		return
@@ -149,10 +150,10 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	reply(w, client.AppendAnswer{Offset: offset})
+	reply(w, client.AppendResponse{Offset: offset})
 }
 
-func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		http.Error(w, "from is not a number", http.StatusBadRequest)
@@ -166,31 +167,31 @@
 	reply(w, page)
 }
 
-func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
 	var query port.ListQuery
 	if !decode(w, r, &query) {
 		return
 	}
-	inventory, up := p.inventory(query, time.Now())
+	inventory, up := p.updateInventory(query, time.Now())
 	if !up {
-		http.Error(w, "list is down", http.StatusServiceUnavailable)
+		http.Error(w, "list service is down", http.StatusServiceUnavailable)
 		return
 	}
 	reply(w, inventory)
 }
 
-func (p *Platform) inventory(query port.ListQuery, now time.Time) (port.Inventory, bool) {
+func (p *Platform) updateInventory(query port.ListQuery, now time.Time) (port.Inventory, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.list.Down {
+	if p.listFaults.Down {
 		return port.Inventory{}, false
 	}
 	if self := query.Self; self.ID != "" {
-		p.instances[self.ID] = listed{self, now}
+		p.instances[self.ID] = listedInstance{self, now}
 	}
 	var out port.Inventory
 	for id, l := range p.instances {
-		if now.Sub(l.seen) > listLife+p.list.Lag.Std() {
+		if now.Sub(l.seen) > listTTL+p.listFaults.Lag.Std() {
 			delete(p.instances, id)
 			continue
 		}
@@ -206,21 +207,21 @@
 	}
 	sort.Slice(out.Instances, func(i, j int) bool { return out.Instances[i].ID < out.Instances[j].ID })
 	sort.Slice(out.Workers, func(i, j int) bool { return out.Workers[i].ID < out.Workers[j].ID })
-	out.Versions = port.ListVersions{Instances: version(out.Instances), Workers: version(out.Workers), Backends: version(out.Backends)}
-	return withoutKnown(out, query.Known), true
+	out.Versions = port.ListVersions{Instances: listVersion(out.Instances), Workers: listVersion(out.Workers), Backends: listVersion(out.Backends)}
+	return omitUnchanged(out, query.Known), true
 }
 
-// version identifies a list by its content.
-func version(list any) string {
+// listVersion returns a hash of a list, which identifies its content.
+func listVersion(list any) string {
 	raw, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // the lists hold nothing that can't be marshalled
+		panic(err) // the lists hold only types that can be marshalled
 	}
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:8])
 }
 
-func withoutKnown(i port.Inventory, known port.ListVersions) port.Inventory {
+func omitUnchanged(i port.Inventory, known port.ListVersions) port.Inventory {
 	if i.Versions.Instances == known.Instances {
 		i.Instances = nil
 	}
@@ -233,7 +234,7 @@
 	return i
 }
 
-func (p *Platform) work(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleCommand(w http.ResponseWriter, r *http.Request) {
 	id := domain.WorkerID(r.PathValue("id"))
 	worker, known := p.workers[id]
 	p.mu.Lock()
@@ -249,25 +250,25 @@
 	}
 }
 
-func (p *Platform) setFaults(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var request FaultRequest
 	if !decode(w, r, &request) {
 		return
 	}
-	if !p.apply(request) {
+	if !p.applyFaults(request) {
 		http.Error(w, "no such worker or backend server", http.StatusNotFound)
 		return
 	}
 	reply(w, struct{}{})
 }
 
-func (p *Platform) apply(f FaultRequest) bool {
+func (p *Platform) applyFaults(f FaultRequest) bool {
 	if f.Log != nil {
 		p.Log.SetFaults(*f.Log)
 	}
 	if f.List != nil {
 		p.mu.Lock()
-		p.list = *f.List
+		p.listFaults = *f.List
 		p.mu.Unlock()
 	}
 	if f.Cut != nil {
@@ -281,12 +282,12 @@
 		worker.SetFaults(f.WorkerFaults)
 	}
 	if f.Backend != "" {
-		return p.applyBackend(f)
+		return p.applyBackendFaults(f)
 	}
 	return true
 }
 
-func (p *Platform) applyBackend(f FaultRequest) bool {
+func (p *Platform) applyBackendFaults(f FaultRequest) bool {
 	for _, b := range p.backends {
 		if b.Spec.ID == f.Backend {
 			b.SetFaults(f.BackendFaults)
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins of the platform (log service, lists,
-// workers' agents) and of backend servers. Each fault that the brief names can
-// be switched on while they run. They serve development and tests only.
+// Package standin implements small stand-ins for the platform (log service, lists,
+// workers' agents) and for backend servers. Faults can be switched on while they
+// run. They are for development and tests only.
 package standin
 
 import (
@@ -14,18 +14,18 @@
 	"github.com/cobalttide/cobalttide/port"
 )
 
-// Clock returns a worker's monotonic time since its boot.
+// Clock returns a monotonic time. A worker reports the difference to its boot.
 type Clock func() time.Duration
 
-// Workload is the payload that the worker stand-in understands.
+// Workload is the job payload that the worker stand-in understands.
 type Workload struct {
-	// Run is how long the tasks work.
+	// Run is how long the tasks run.
 	Run domain.Duration `json:"run"`
 	// Fail makes the tasks end with an error.
 	Fail bool `json:"fail,omitempty"`
-	// Crash makes the tasks end their worker's life as soon as they run.
+	// Crash makes the tasks crash their worker as soon as they run.
 	Crash bool `json:"crash,omitempty"`
-	// UsedMemoryMiB is reported as each task's memory.
+	// UsedMemoryMiB is the memory use that is reported for each task.
 	UsedMemoryMiB int `json:"used_memory_mib,omitempty"`
 }
 
@@ -33,63 +33,64 @@
 func (w Workload) Encode() string {
 	raw, err := json.Marshal(w)
 	if err != nil {
-		panic(err) // a Workload holds nothing that can't be marshalled
+		panic(err) // a Workload holds only types that can be marshalled
 	}
 	return string(raw)
 }
 
-// WorkerFaults are the faults of a worker that can be switched on.
+// WorkerFaults configures the faults of a worker.
 type WorkerFaults struct {
 	// FailTasks fails every task as soon as it runs.
 	FailTasks bool `json:"fail_tasks"`
-	// Unfenced accepts commands with any token. It is a broken variant that
-	// exists so that tests can show that they notice.
+	// Unfenced accepts commands with any token. Tests use this broken variant to
+	// prove that their invariants detect it.
 	Unfenced bool `json:"-"`
-	// IgnoreLeases keeps members whose lease has lapsed: a broken variant.
+	// IgnoreLeases keeps members whose lease has expired; a broken variant for the
+	// same purpose.
 	IgnoreLeases bool `json:"-"`
 }
 
-type heldMember struct {
+type memberState struct {
 	port.Member
 	until    time.Duration
 	work     Workload
-	resumed  time.Duration // clock when it was released
+	resumed  time.Duration // worker time of the release or the last checkpoint
 	progress time.Duration // saved by checkpoints
-	hidden   bool          // forgotten, kept until its lease ends
+	hidden   bool          // forgotten, but kept until the lease ends
 }
 
-// Worker is the state machine of one worker's agent. Safe for concurrent use.
+// Worker is the state machine of one worker's agent. It is safe for concurrent use.
 type Worker struct {
 	Spec domain.Worker
 
-	mu      sync.Mutex
-	clock   Clock
-	boot    int
-	bootAt  time.Duration
-	seen    domain.Token
-	members map[domain.Incarnation]*heldMember
-	saved   map[domain.JobID]time.Duration
-	faults  WorkerFaults
-	starts  []domain.Incarnation
+	mu       sync.Mutex
+	clock    Clock
+	boots    int
+	bootedAt time.Duration
+	maxToken domain.Token
+	members  map[domain.Incarnation]*memberState
+	saved    map[domain.JobID]time.Duration
+	faults   WorkerFaults
+	starts   []domain.Incarnation
 }
 
-// NewWorker returns an agent that holds nothing.
+// NewWorker returns an agent without members.
 func NewWorker(spec domain.Worker, clock Clock) *Worker {
 	return &Worker{
 		Spec: spec, clock: clock,
-		members: map[domain.Incarnation]*heldMember{},
+		members: map[domain.Incarnation]*memberState{},
 		saved:   map[domain.JobID]time.Duration{},
 	}
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the worker's faults.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = f
 }
 
-// Restart loses everything that the worker held, as a crash does.
+// Restart restarts the worker, which loses all its members, as in a crash.
 func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,33 +98,33 @@
 }
 
 func (w *Worker) restart() {
-	w.boot++
-	w.bootAt = w.clock()
-	w.seen = domain.Token{}
-	w.members = map[domain.Incarnation]*heldMember{}
+	w.boots++
+	w.bootedAt = w.clock()
+	w.maxToken = domain.Token{}
+	w.members = map[domain.Incarnation]*memberState{}
 }
 
-// Starts returns every incarnation that was ever released here, in order.
+// Starts returns every incarnation that was ever released on this worker, in order.
 func (w *Worker) Starts() []domain.Incarnation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]domain.Incarnation(nil), w.starts...)
 }
 
-// Members returns what the worker holds now.
+// Members returns the worker's current members.
 func (w *Worker) Members() []port.Member {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
+	w.advance()
 	return w.report("").Members
 }
 
-// Do carries out one command.
+// Do executes one command and reports the worker's state after it.
 func (w *Worker) Do(c port.Command) port.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
-	if refused := w.admit(c); refused != "" {
+	w.advance()
+	if refused := w.rejectReason(c); refused != "" {
 		return w.report(refused)
 	}
 	switch c.Verb {
@@ -147,51 +148,52 @@
 	return w.report(fmt.Sprintf("unknown verb %q", c.Verb))
 }
 
-func (w *Worker) now() time.Duration { return w.clock() - w.bootAt }
+func (w *Worker) now() time.Duration { return w.clock() - w.bootedAt }
 
-func (w *Worker) bootName() string { return fmt.Sprintf("%s#%d", w.Spec.ID, w.boot) }
+func (w *Worker) bootID() string { return fmt.Sprintf("%s#%d", w.Spec.ID, w.boots) }
 
-// admit fences: a token lower than the highest seen is refused, and so is a
-// command meant for an earlier boot or whose lease has ended on the way.
-func (w *Worker) admit(c port.Command) string {
+// rejectReason returns why a command is refused before it is executed, or "". It
+// refuses a token that is lower than the highest one seen, a command for an earlier
+// boot, and a command whose lease has ended in transit.
+func (w *Worker) rejectReason(c port.Command) string {
 	if w.faults.Unfenced {
 		return ""
 	}
-	if c.Token.Less(w.seen) {
+	if c.Token.Less(w.maxToken) {
 		return "token is lower than one seen"
 	}
 	if c.Verb == port.VerbClaim {
-		w.seen = c.Token
+		w.maxToken = c.Token
 		return ""
 	}
-	if c.Boot != w.bootName() {
+	if c.Boot != w.bootID() {
 		return "worker has restarted"
 	}
 	if c.Until.Std() <= w.now() && (c.Verb == port.VerbArm || c.Verb == port.VerbRelease) {
-		return "its time ended on the way"
+		return "lease ended in transit"
 	}
-	w.seen = c.Token
+	w.maxToken = c.Token
 	return ""
 }
 
-// settle brings members up to the present: lapsed leases stop, work that has
-// run its time finishes.
-func (w *Worker) settle() {
+// advance updates the members to the current time: members whose lease has expired
+// stop, and members that have run for their time finish.
+func (w *Worker) advance() {
 	now := w.now()
 	for gang, m := range w.members {
 		if m.work.Crash && m.State == port.TaskRunning {
 			w.restart()
 			return
 		}
-		w.settleMember(m, now)
+		w.advanceMember(m, now)
 		if m.hidden && now > m.until {
 			delete(w.members, gang)
 		}
 	}
 }
 
-func (w *Worker) settleMember(m *heldMember, now time.Duration) {
-	if m.State == port.TaskRunning && w.endsAt(m) <= min(now, m.until) {
+func (w *Worker) advanceMember(m *memberState, now time.Duration) {
+	if m.State == port.TaskRunning && w.finishTime(m) <= min(now, m.until) {
 		w.finish(m)
 		return
 	}
@@ -200,14 +202,14 @@
 	}
 }
 
-func (w *Worker) endsAt(m *heldMember) time.Duration {
+func (w *Worker) finishTime(m *memberState) time.Duration {
 	if w.faults.FailTasks {
 		return m.resumed
 	}
 	return m.resumed + m.work.Run.Std() - m.progress
 }
 
-func (w *Worker) finish(m *heldMember) {
+func (w *Worker) finish(m *memberState) {
 	m.State = port.TaskFinished
 	m.Result = fmt.Sprintf("%s done on %s", m.Gang.Job, w.Spec.ID)
 	if w.faults.FailTasks || m.work.Fail {
@@ -235,9 +237,9 @@
 		return "resources are in use"
 	}
 	if c.Until.Std() <= w.now() {
-		return "lease ended on the way"
+		return "lease ended in transit"
 	}
-	w.members[c.Gang] = &heldMember{
+	w.members[c.Gang] = &memberState{
 		Member: port.Member{Gang: c.Gang, Members: c.Members, State: port.TaskReserved, Tasks: c.Tasks, PerTask: c.PerTask},
 		until:  c.Until.Std(),
 	}
@@ -302,9 +304,8 @@
 func (w *Worker) stop(c port.Command) string {
 	m, ok := w.members[c.Gang]
 	if !ok {
-		// Remembered, so that a reserve that is still on its way stays without
-		// effect.
-		w.members[c.Gang] = &heldMember{
+		// Recorded so that a reserve that arrives later has no effect.
+		w.members[c.Gang] = &memberState{
 			Member: port.Member{Gang: c.Gang, State: port.TaskStopped},
 			until:  c.Until.Std(),
 		}
@@ -331,8 +332,8 @@
 
 func (w *Worker) report(refused string) port.Report {
 	r := port.Report{
-		Refused: refused, Seen: w.seen,
-		Boot: w.bootName(), Clock: domain.Duration(w.now()),
+		Refused: refused, Seen: w.maxToken,
+		Boot: w.bootID(), Clock: domain.Duration(w.now()),
 		Members: []port.Member{},
 	}
 	for _, m := range w.members {
