--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock has the clock by which ages, leases and authority are counted. The
-// runtime's own reading stands still while the machine is suspended, so that what was
-// read, or was granted, seconds ago looks fresh on waking.
+// Package clock provides the clock for ages, leases and authority. The Go runtime's
+// monotonic clock stops while the machine is suspended, so that after a resume, data that
+// was read or leases that were granted before would seem to be only seconds old.
 package clock
 
 import (
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells a time that only differences are taken of. A nil Clock is Steady.
+// Clock returns a time of which only differences are meaningful. A nil Clock is Steady.
 type Clock func() time.Time
 
-// Steady is the runtime's clock. It stands still in a suspension.
+// Steady is the Go runtime's clock. It stops while the machine is suspended.
 func Steady() time.Time { return time.Now() }
 
 // Now returns the clock's time.
@@ -24,29 +24,29 @@
 	return c()
 }
 
-// Since returns the time that has passed since an earlier reading of the clock.
+// Since returns the time elapsed since an earlier reading of the clock.
 func (c Clock) Since(earlier time.Time) time.Duration { return c.Now().Sub(earlier) }
 
-// Boot returns the kernel's clock since boot, which counts suspended time. Its readings
-// begin at the present time of day and do not follow it when that is set.
+// Boot returns the kernel's CLOCK_BOOTTIME, which includes suspended time. Its readings
+// start at the current time of day, but do not follow later changes of the system time.
 func Boot() (Clock, error) {
-	first, err := sinceBoot()
+	first, err := readBootTime()
 	if err != nil {
-		return nil, errors.WithHint(errors.Wrap(err, "the clock since boot can't be read"), "allow clock_gettime with CLOCK_BOOTTIME")
+		return nil, errors.WithHint(errors.Wrap(err, "read CLOCK_BOOTTIME"), "allow clock_gettime with CLOCK_BOOTTIME")
 	}
-	// Without the runtime's reading, so that differences are those of the clock.
+	// Round(0) strips the monotonic reading, so that differences are those of this clock.
 	base := time.Now().Round(0).Add(-first)
 	return func() time.Time {
-		now, err := sinceBoot()
+		now, err := readBootTime()
 		if err != nil {
-			// It could be read at the start, and the kernel does not take that back.
+			// The first read succeeded, and the kernel does not withdraw the clock later.
 			panic(err)
 		}
 		return base.Add(now)
 	}, nil
 }
 
-func sinceBoot() (time.Duration, error) {
+func readBootTime() (time.Duration, error) {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
 		return 0, err
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTheClockSinceBootRunsLikeTheRuntimesWhileNothingIsSuspended(t *testing.T) {
+func TestBootClockAgreesWithRuntimeClock(t *testing.T) {
 	ages, err := Boot()
 	if err != nil {
 		t.Fatal(err)
@@ -13,21 +13,21 @@
 	began, steady := ages.Now(), time.Now()
 	for range 1000 {
 		if now := ages.Now(); now.Before(began) {
-			t.Fatalf("it went back by %v", began.Sub(now))
+			t.Fatalf("the clock went back by %v", began.Sub(now))
 		}
 	}
 	if off := ages.Since(began) - time.Since(steady); off < -time.Second || off > time.Second {
-		t.Errorf("it differs from the runtime's by %v", off)
+		t.Errorf("elapsed time differs from the runtime clock's by %v", off)
 	}
 	if off := ages.Now().Sub(time.Now().Round(0)); off < -time.Second || off > time.Second {
-		t.Errorf("it begins %v off the time of day", off)
+		t.Errorf("the clock differs from the time of day by %v", off)
 	}
 }
 
-func TestNoClockIsTheRuntimes(t *testing.T) {
+func TestNilClockIsSteady(t *testing.T) {
 	var none Clock
 	if took := none.Since(time.Now()); took < 0 || took > time.Minute {
-		t.Errorf("%v since now", took)
+		t.Errorf("Since(time.Now()) = %v", took)
 	}
 }
 
--- a/internal/clock/readings_test.go
+++ b/internal/clock/readings_test.go
@@ -9,32 +9,33 @@
 	"testing"
 )
 
-// Readings of the runtime's clock, which stands still in a suspension, by file: how many
-// there may be, and why a suspension does no harm there.
-var bare = map[string]struct {
+// allowedReadings lists by file how many readings of the runtime's clock are allowed, and
+// why it does no harm there that this clock stops while the machine is suspended.
+var allowedReadings = map[string]struct {
 	readings int
 	why      string
 }{
 	"workload/service/orders.go":  {3, "how long one call took"},
-	"workload/service/states.go":  {1, "what is left of a caller's time, which is the runtime's"},
+	"workload/service/states.go":  {1, "the rest of a caller's deadline, which is in the runtime's time"},
 	"workload/service/planner.go": {10, "how long a round and a write took; the time of day"},
 	"workload/service/commit.go":  {2, "how long one append took"},
-	"workload/service/waking.go":  {3, "held against the clock of ages"},
-	"workload/service/members.go": {2, "a pause at the start"},
+	"workload/service/waking.go":  {3, "compared with the clock for ages"},
+	"workload/service/members.go": {2, "a pause at startup"},
 	"workload/service/follow.go":  {2, "the pause between two reads"},
-	"workload/service/service.go": {1, "what is left of a caller's time"},
+	"workload/service/service.go": {1, "the rest of a caller's deadline"},
 	"workload/service/forget.go":  {1, "the time of day"},
-	"platform/writes.go":          {7, "patience with one call: a suspension makes it look shorter, and the call is not repeated sooner"},
+	"platform/writes.go":          {7, "the timeout of one call: a suspension makes the call seem shorter, so it is not repeated sooner"},
 	"platform/store.go":           {5, "how long one call took"},
 	"platform/front.go":           {3, "how long one call took; the time of day"},
-	"platform/router.go":          {10, "rests of ways that failed: they last longer by a suspension"},
+	"platform/router.go":          {10, "pauses of failed routes: a suspension only prolongs them"},
 }
 
-var reading = regexp.MustCompile(`time\.(Now|Since|Until)\(`)
+var clockReading = regexp.MustCompile(`time\.(Now|Since|Until)\(`)
 
-// Whatever decides by an age, a lease or authority reads the clock that counts suspended
-// time. A reading of the runtime's is added here with its reason, or not at all.
-func TestAgesAreNotCountedByTheRuntimesClock(t *testing.T) {
+// Decisions about ages, leases and authority must use the clock that includes suspended
+// time. Guards against new readings of the runtime's clock that are not in allowedReadings
+// with a reason.
+func TestRuntimeClockReadingsAreAllowlisted(t *testing.T) {
 	found := map[string]int{}
 	for _, root := range []string{"workload", "platform"} {
 		err := filepath.WalkDir(filepath.Join("..", "..", root), func(path string, d fs.DirEntry, err error) error {
@@ -51,7 +52,7 @@
 			if err != nil {
 				return err
 			}
-			if n := len(reading.FindAll(text, -1)); n > 0 {
+			if n := len(clockReading.FindAll(text, -1)); n > 0 {
 				found[strings.TrimPrefix(filepath.ToSlash(path), "../../")] = n
 			}
 			return nil
@@ -61,13 +62,13 @@
 		}
 	}
 	for file, n := range found {
-		if n != bare[file].readings {
-			t.Errorf("%s reads the runtime's clock %d times, %d are explained", file, n, bare[file].readings)
+		if n != allowedReadings[file].readings {
+			t.Errorf("%s reads the runtime's clock %d times, want %d", file, n, allowedReadings[file].readings)
 		}
 	}
-	for file, known := range bare {
+	for file, known := range allowedReadings {
 		if found[file] == 0 {
-			t.Errorf("%s reads the runtime's clock no more (%s)", file, known.why)
+			t.Errorf("%s no longer reads the runtime's clock (%s)", file, known.why)
 		}
 	}
 }
--- a/internal/command/callers.go
+++ b/internal/command/callers.go
@@ -17,8 +17,9 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// call sends one call to the callers' interface and decodes its answer.
-func (f *flags) call(ctx context.Context, method, path string, header http.Header, body []byte) ([]byte, error) {
+// callInstance sends a request to the callers' interface. It returns the body of the
+// response, or the refusal that the instance returned.
+func (f *flags) callInstance(ctx context.Context, method, path string, header http.Header, body []byte) ([]byte, error) {
 	if f.address == "" {
 		return nil, errors.Mark(errors.New("no instance is named; set -address or COBALTTIDE_ADDRESS"), errUsage)
 	}
@@ -29,7 +30,7 @@
 	for name, values := range header {
 		request.Header[name] = values
 	}
-	client := &http.Client{Transport: bearer{f.token}}
+	client := &http.Client{Transport: bearerTransport{f.token}}
 	response, err := client.Do(request)
 	if err != nil {
 		refusal := domain.OutcomeUnknown(domain.ReasonOutcomeUnknown, err.Error())
@@ -44,7 +45,7 @@
 	if response.StatusCode >= http.StatusBadRequest {
 		var refusal domain.Refusal
 		if json.Unmarshal(raw, &refusal) != nil || refusal.Reason == "" {
-			return nil, errors.Newf("the instance answered %d: %s", response.StatusCode, raw)
+			return nil, errors.Newf("the instance returned status %d: %s", response.StatusCode, raw)
 		}
 		return nil, &refusal
 	}
@@ -56,14 +57,14 @@
 	id := f.String("id", "", "the job's id; repeat a submission with the same one")
 	class := f.String("class", "", "a declared class of jobs")
 	team := f.String("team", "", "a declared team of the account")
-	dc := f.String("data-centre", "", "where to run; the instance's own when empty")
+	dc := f.String("data-centre", "", "data centre to run in; the instance's own if empty")
 	tasks := f.Int("tasks", 1, "size of the gang, 1 to 128")
 	accelerators := f.Int("accelerators", 1, "accelerators of each task")
 	cpu := f.Int("cpu", 1, "cores of each task")
 	memory := f.Int("memory-mib", 1024, "memory of each task, in MiB")
 	adjacency := f.String("adjacency", "", "same-worker, same-rack, neighbouring-racks or anywhere")
 	estimate := f.Duration("estimate", time.Minute, "expected run time; need not be exact")
-	payload := f.String("payload", "", "handed to every task")
+	payload := f.String("payload", "", "payload that is passed to every task")
 	if _, err := f.parse(args); err != nil {
 		return err
 	}
@@ -77,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := f.call(ctx, http.MethodPost, "/v1/jobs", nil, body)
+	raw, err := f.callInstance(ctx, http.MethodPost, "/v1/jobs", nil, body)
 	if err != nil {
 		return err
 	}
@@ -93,7 +94,7 @@
 	id := f.String("id", "", "the request's id; repeat a request with the same one")
 	class := f.String("class", "", "a declared class of requests")
 	body := f.String("body", "", "the request's body")
-	deadline := f.Duration("deadline", 0, "how long to wait; the class's expectation when 0")
+	deadline := f.Duration("deadline", 0, "how long to wait for the answer; the class's expectation if 0")
 	if _, err := f.parse(args); err != nil {
 		return err
 	}
@@ -101,7 +102,7 @@
 	if *deadline > 0 {
 		header.Set("Cobalttide-Deadline", deadline.String())
 	}
-	raw, err := f.call(ctx, http.MethodPost, "/v1/requests/"+url.PathEscape(*class), header, []byte(*body))
+	raw, err := f.callInstance(ctx, http.MethodPost, "/v1/requests/"+url.PathEscape(*class), header, []byte(*body))
 	if err != nil {
 		return err
 	}
@@ -109,16 +110,16 @@
 	return err
 }
 
-func (f *flags) status(ctx context.Context, id, query string) (state.Status, error) {
+func (f *flags) jobStatus(ctx context.Context, id, query string) (state.Status, error) {
 	var s state.Status
-	raw, err := f.call(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+query, nil, nil)
+	raw, err := f.callInstance(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+query, nil, nil)
 	if err != nil {
 		return s, err
 	}
 	return s, json.Unmarshal(raw, &s)
 }
 
-func rowsOf(s state.Status) [][]string {
+func statusRows(s state.Status) [][]string {
 	rows := [][]string{{"job", string(s.Job.ID)}, {"state", string(s.State)}}
 	if s.Cause != "" {
 		rows = append(rows, []string{"cause", s.Cause})
@@ -138,15 +139,15 @@
 	if err != nil {
 		return err
 	}
-	s, err := f.status(ctx, operands[0], "")
+	s, err := f.jobStatus(ctx, operands[0], "")
 	if err != nil {
 		return err
 	}
-	return f.print(env, s, rowsOf(s))
+	return f.print(env, s, statusRows(s))
 }
 
-// watchStep is how long one call of watch waits for a job's end.
-const watchStep = 20 * time.Second
+// watchTimeout is how long one call of watch waits for a job's end.
+const watchTimeout = 20 * time.Second
 
 func watch(ctx context.Context, env Env, args []string) error {
 	f := newFlags(env, "watch")
@@ -155,7 +156,7 @@
 		return err
 	}
 	for {
-		s, err := f.status(ctx, operands[0], "?wait="+watchStep.String())
+		s, err := f.jobStatus(ctx, operands[0], "?wait="+watchTimeout.String())
 		if err != nil {
 			return err
 		}
@@ -163,7 +164,7 @@
 			fmt.Fprintf(env.Err, "%s is %s\n", s.Job.ID, s.State)
 			continue
 		}
-		if err := f.print(env, s, rowsOf(s)); err != nil {
+		if err := f.print(env, s, statusRows(s)); err != nil {
 			return err
 		}
 		if s.State != domain.JobCompleted {
@@ -179,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := f.call(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(operands[0]), nil, nil)
+	raw, err := f.callInstance(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(operands[0]), nil, nil)
 	if err != nil {
 		return err
 	}
@@ -192,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := f.call(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(operands[0])+"/explain", nil, nil)
+	raw, err := f.callInstance(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(operands[0])+"/explain", nil, nil)
 	if err != nil {
 		return err
 	}
@@ -200,7 +201,7 @@
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return err
 	}
-	rows := append(rowsOf(e.Status), []string{"note", e.Note})
+	rows := append(statusRows(e.Status), []string{"note", e.Note})
 	if e.Held != nil {
 		rows = append(rows, []string{"held by", string(e.Held.Reason)}, []string{"needs", fmt.Sprintf("%d, has %d", e.Held.Need, e.Held.Have)})
 	}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the library behind cobaltctl: one file a group of
-// subcommands. Errors say what to do next; exit codes are documented in usage.
+// Package command implements cobaltctl, with one file for each group of subcommands.
+// Errors say how to proceed. Exit codes are documented in usage.
 package command
 
 import (
@@ -21,24 +21,24 @@
 // Exit codes of cobaltctl.
 const (
 	ExitOK = 0
-	// ExitFailed: the command was carried out and failed, or was refused.
+	// ExitFailed means that the command failed or was refused.
 	ExitFailed = 1
-	// ExitUsage: the command line was wrong.
+	// ExitUsage means that the command line was invalid.
 	ExitUsage = 2
-	// ExitConflict: a newer configuration is in force.
+	// ExitConflict means that a newer configuration is in force.
 	ExitConflict = 3
-	// ExitUnknown: the outcome is not known; the command may be repeated.
+	// ExitUnknown means that the outcome is unknown; the command may be repeated.
 	ExitUnknown = 4
 )
 
-// Env is what a command works with.
+// Env is the environment of a command.
 type Env struct {
 	Out, Err io.Writer
-	// Getenv reads the environment: COBALTTIDE_ADDRESS, COBALTTIDE_TOKEN.
+	// Getenv reads an environment variable: COBALTTIDE_ADDRESS, COBALTTIDE_TOKEN or USER.
 	Getenv func(string) string
 }
 
-// subcommand is one of cobaltctl's.
+// subcommand is a subcommand of cobaltctl.
 type subcommand struct {
 	summary string
 	example string
@@ -57,18 +57,18 @@
 		"rollback":   {"apply an earlier version again", "cobaltctl rollback -to 3", rollback},
 		"status":     {"describe an instance, its peers and its data centre", "cobaltctl status", status},
 		"drain":      {"empty a worker, or put it back with -undo", "cobaltctl drain tyseley-hall-r0-w3", drain},
-		"evacuate":   {"let a data centre get nothing new, or take it back with -undo", "cobaltctl evacuate tyseley-hall", evacuate},
-		"token":      {"make a token and the hash to declare", "cobaltctl token", token},
+		"evacuate":   {"stop placing work in a data centre, or put it back in use with -undo", "cobaltctl evacuate tyseley-hall", evacuate},
+		"token":      {"generate a token and the hash to declare", "cobaltctl token", token},
 		"submit":     {"submit a gang job", `cobaltctl submit -id f1 -class restock-forecast -tasks 4 -accelerators 8 -adjacency same-rack -estimate 10s -payload '{"run":"5s"}'`, submit},
 		"request":    {"send a request to a backend server", `cobaltctl request -id q1 -class trade-counter-quote -body '{"take":"20ms"}'`, request},
 		"watch":      {"follow a job to its end", "cobaltctl watch f1", watch},
 		"job":        {"print a job's status", "cobaltctl job f1", job},
-		"cancel":     {"ask for a job's end", "cobaltctl cancel f1", cancel},
-		"explain":    {"tell why a job waits", "cobaltctl explain f1", explain},
-		"trace":      {"tell one job's story out of instances' logs", "cobaltctl trace -all 43dc915dcf38ac94 edge-1.log edge-2.log", trace},
-		"report":     {"tell from instances' logs what was late, what it waited for and what was thrown away", "cobaltctl report -plot late.svg edge-1.log edge-2.log", report},
-		"experiment": {"play a pattern of load under two policies and compare them", "cobaltctl experiment -pattern burst-urgent -a easy -b shipping -plots plots", experiment},
-		"record":     {"make a pattern for experiments of the load that instances' logs tell of", "cobaltctl record edge-1.log edge-2.log > day.jsonc", record},
+		"cancel":     {"request that a job ends", "cobaltctl cancel f1", cancel},
+		"explain":    {"show why a job waits", "cobaltctl explain f1", explain},
+		"trace":      {"print the events of one job from instances' logs", "cobaltctl trace -all 43dc915dcf38ac94 edge-1.log edge-2.log", trace},
+		"report":     {"report from instances' logs which jobs were late, what they waited for and which work was discarded", "cobaltctl report -plot late.svg edge-1.log edge-2.log", report},
+		"experiment": {"simulate a load pattern under two policies and compare them", "cobaltctl experiment -pattern burst-urgent -a easy -b shipping -plots plots", experiment},
+		"record":     {"create a load pattern for experiments from instances' logs", "cobaltctl record edge-1.log edge-2.log > day.jsonc", record},
 		"demo":       {"run a whole deployment in one process", "cobaltctl demo -deployment midlands -faults", demoCommand},
 	}
 }
@@ -128,7 +128,7 @@
 
 var errUsage = errors.New("wrong command line")
 
-// flags are those that all subcommands share.
+// flags holds the flags that all subcommands share.
 type flags struct {
 	*flag.FlagSet
 	address, token, output string
@@ -138,8 +138,8 @@
 	f := &flags{FlagSet: flag.NewFlagSet(name, flag.ContinueOnError)}
 	f.SetOutput(env.Err)
 	f.StringVar(&f.address, "address", env.Getenv("COBALTTIDE_ADDRESS"), "IP and port of an instance")
-	f.StringVar(&f.token, "token", env.Getenv("COBALTTIDE_TOKEN"), "bearer token; prefer COBALTTIDE_TOKEN, which does not show in lists of processes")
-	f.StringVar(&f.output, "o", "table", "output: json or table")
+	f.StringVar(&f.token, "token", env.Getenv("COBALTTIDE_TOKEN"), "bearer token; prefer COBALTTIDE_TOKEN, which is not visible in process lists")
+	f.StringVar(&f.output, "o", "table", "output format: json or table")
 	f.Usage = func() {
 		fmt.Fprintf(env.Err, "cobaltctl %s: %s\n\n  %s\n\n", name, subcommands[name].summary, subcommands[name].example)
 		f.PrintDefaults()
@@ -147,8 +147,8 @@
 	return f
 }
 
-// parse reads flags and operands in any order and checks how many operands
-// there are.
+// parse parses flags and operands in any order, and checks the number of operands
+// and the output format.
 func (f *flags) parse(args []string, operands ...string) ([]string, error) {
 	var given []string
 	for {
@@ -173,7 +173,7 @@
 	return given, nil
 }
 
-// print writes a result as JSON, or as a table of rows.
+// print writes a result as JSON, or its rows as a table, as the flag -o selects.
 func (f *flags) print(env Env, result any, rows [][]string) error {
 	if f.output == "json" {
 		encoder := json.NewEncoder(env.Out)
@@ -187,5 +187,5 @@
 	return w.Flush()
 }
 
-// Default returns the environment of a process.
+// Default returns the environment of the current process.
 func Default() Env { return Env{Out: os.Stdout, Err: os.Stderr, Getenv: os.Getenv} }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -16,7 +16,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-func TestExitCodesAndMessagesSayWhatToDo(t *testing.T) {
+func TestExitCodesAndErrorHints(t *testing.T) {
 	broken := filepath.Join(t.TempDir(), "broken")
 	if err := os.Mkdir(broken, 0o700); err != nil {
 		t.Fatal(err)
--- a/internal/command/configuration.go
+++ b/internal/command/configuration.go
@@ -20,39 +20,39 @@
 	"github.com/cobalttide/cobalttide/instance/auth"
 )
 
-// callTimeout bounds one call of a subcommand.
+// callTimeout bounds each call to the operators' interface.
 const callTimeout = 30 * time.Second
 
-func (f *flags) operators() (cobalttidev1connect.OperatorServiceClient, error) {
+func (f *flags) operatorClient() (cobalttidev1connect.OperatorServiceClient, error) {
 	if f.address == "" {
 		return nil, errors.Mark(errors.New("no instance is named; set -address or COBALTTIDE_ADDRESS"), errUsage)
 	}
-	client := &http.Client{Timeout: callTimeout, Transport: bearer{f.token}}
+	client := &http.Client{Timeout: callTimeout, Transport: bearerTransport{f.token}}
 	return cobalttidev1connect.NewOperatorServiceClient(client, "http://"+f.address), nil
 }
 
-// bearer adds the token to every call.
-type bearer struct{ token string }
+// bearerTransport adds the bearer token to every request.
+type bearerTransport struct{ token string }
 
 // RoundTrip implements http.RoundTripper.
-func (b bearer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+b.token)
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// codes maps the operators' interface's codes back to refusals.
-var codes = map[connect.Code]domain.Reason{
+// reasonsByCode maps the status codes of the operators' interface to reasons of refusals.
+var reasonsByCode = map[connect.Code]domain.Reason{
 	connect.CodeAborted: domain.ReasonConflict, connect.CodeInvalidArgument: domain.ReasonInvalid,
 	connect.CodeUnauthenticated: domain.ReasonUnauthenticated, connect.CodeNotFound: domain.ReasonNotFound,
 }
 
-func refused(err error) error {
+func decodeError(err error) error {
 	var coded *connect.Error
 	if err == nil || !errors.As(err, &coded) {
 		return err
 	}
-	if reason, ok := codes[coded.Code()]; ok {
+	if reason, ok := reasonsByCode[coded.Code()]; ok {
 		return errors.Mark(errors.New(coded.Message()), domain.Refuse(reason, "", coded.Message(), ""))
 	}
 	if coded.Code() == connect.CodeUnknown || coded.Code() == connect.CodeUnavailable || coded.Code() == connect.CodeDeadlineExceeded {
@@ -61,7 +61,7 @@
 	return err
 }
 
-func load(directory string) (configuration.Declarations, string, error) {
+func loadDeclarations(directory string) (configuration.Declarations, string, error) {
 	declared, err := configuration.LoadDirectory(directory)
 	if err != nil {
 		return declared, "", err
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	declared, _, err := load(operands[0])
+	declared, _, err := loadDeclarations(operands[0])
 	if err != nil {
 		return err
 	}
@@ -87,17 +87,17 @@
 	return f.print(env, summary, [][]string{{"accounts", strconv.Itoa(len(declared.Accounts))}, {"classes", strconv.Itoa(len(declared.Classes))}})
 }
 
-func planOf(ctx context.Context, f *flags, directory string) (*cobalttidev1.PlanResponse, string, cobalttidev1connect.OperatorServiceClient, error) {
-	_, text, err := load(directory)
+func requestPlan(ctx context.Context, f *flags, directory string) (*cobalttidev1.PlanResponse, string, cobalttidev1connect.OperatorServiceClient, error) {
+	_, text, err := loadDeclarations(directory)
 	if err != nil {
 		return nil, "", nil, err
 	}
-	client, err := f.operators()
+	client, err := f.operatorClient()
 	if err != nil {
 		return nil, "", nil, err
 	}
 	plan, err := client.Plan(ctx, &cobalttidev1.PlanRequest{DeclarationsJson: text})
-	return plan, text, client, refused(err)
+	return plan, text, client, decodeError(err)
 }
 
 func planCommand(ctx context.Context, env Env, args []string) error {
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	plan, _, _, err := planOf(ctx, f, operands[0])
+	plan, _, _, err := requestPlan(ctx, f, operands[0])
 	if err != nil {
 		return err
 	}
@@ -120,10 +120,10 @@
 	if err := f.print(env, plan, rows); err != nil {
 		return err
 	}
-	return problemsOf(plan)
+	return planProblems(plan)
 }
 
-func problemsOf(plan *cobalttidev1.PlanResponse) error {
+func planProblems(plan *cobalttidev1.PlanResponse) error {
 	var problems configuration.Problems
 	for _, p := range plan.Problems {
 		problems = append(problems, configuration.Problem{Field: p.Field, Message: p.Message, Remedy: p.Remedy})
@@ -133,30 +133,30 @@
 
 func apply(ctx context.Context, env Env, args []string) error {
 	f := newFlags(env, "apply")
-	id := f.String("change-id", "", "name of the change, to repeat it after a lost answer; made up when empty")
-	operator := f.String("operator", env.Getenv("USER"), "name for the history")
+	id := f.String("change-id", "", "id of the change, to repeat it after a lost response; generated if empty")
+	operator := f.String("operator", env.Getenv("USER"), "operator's name for the history")
 	operands, err := f.parse(args, "DIRECTORY")
 	if err != nil {
 		return err
 	}
-	plan, text, client, err := planOf(ctx, f, operands[0])
+	plan, text, client, err := requestPlan(ctx, f, operands[0])
 	if err != nil {
 		return err
 	}
-	if err := problemsOf(plan); err != nil {
+	if err := planProblems(plan); err != nil {
 		return err
 	}
-	return applyText(ctx, env, f, client, text, plan.BaseVersion, *id, *operator)
+	return applyDeclarations(ctx, env, f, client, text, plan.BaseVersion, *id, *operator)
 }
 
-func applyText(ctx context.Context, env Env, f *flags, client cobalttidev1connect.OperatorServiceClient, text string, base uint64, id, operator string) error {
+func applyDeclarations(ctx context.Context, env Env, f *flags, client cobalttidev1connect.OperatorServiceClient, text string, base uint64, id, operator string) error {
 	if id == "" {
 		raw := make([]byte, 8)
 		_, _ = rand.Read(raw) // crypto/rand.Read never fails
 		id = hex.EncodeToString(raw)
 	}
 	done, err := client.Apply(ctx, &cobalttidev1.ApplyRequest{DeclarationsJson: text, BaseVersion: base, ChangeId: id, Operator: operator})
-	if err := refused(err); err != nil {
+	if err := decodeError(err); err != nil {
 		return errors.Wrapf(err, "change-id %s", id)
 	}
 	return f.print(env, done, [][]string{{fmt.Sprintf("version %d is in force", done.Version)}})
@@ -167,12 +167,12 @@
 	if _, err := f.parse(args); err != nil {
 		return err
 	}
-	client, err := f.operators()
+	client, err := f.operatorClient()
 	if err != nil {
 		return err
 	}
 	current, err := client.GetConfiguration(ctx, &cobalttidev1.GetConfigurationRequest{})
-	if err := refused(err); err != nil {
+	if err := decodeError(err); err != nil {
 		return err
 	}
 	return f.print(env, current, [][]string{{fmt.Sprintf("// version %d", current.Version)}, {current.DeclarationsJson}})
@@ -180,16 +180,16 @@
 
 func history(ctx context.Context, env Env, args []string) error {
 	f := newFlags(env, "history")
-	limit := f.Uint("limit", 20, "how many versions, newest first")
+	limit := f.Uint("limit", 20, "number of versions to list, newest first")
 	if _, err := f.parse(args); err != nil {
 		return err
 	}
-	client, err := f.operators()
+	client, err := f.operatorClient()
 	if err != nil {
 		return err
 	}
 	past, err := client.History(ctx, &cobalttidev1.HistoryRequest{Limit: uint32(*limit)})
-	if err := refused(err); err != nil {
+	if err := decodeError(err); err != nil {
 		return err
 	}
 	rows := [][]string{{"VERSION", "CHANGE", "OPERATOR"}}
@@ -205,21 +205,21 @@
 	if _, err := f.parse(args); err != nil {
 		return err
 	}
-	client, err := f.operators()
+	client, err := f.operatorClient()
 	if err != nil {
 		return err
 	}
 	past, err := client.History(ctx, &cobalttidev1.HistoryRequest{Limit: 100})
-	if err := refused(err); err != nil {
+	if err := decodeError(err); err != nil {
 		return err
 	}
 	for _, entry := range past.Entries {
 		if entry.Version == *to {
 			base := past.Entries[0].Version
-			return applyText(ctx, env, f, client, entry.DeclarationsJson, base, "", env.Getenv("USER"))
+			return applyDeclarations(ctx, env, f, client, entry.DeclarationsJson, base, "", env.Getenv("USER"))
 		}
 	}
-	return domain.Refuse(domain.ReasonNotFound, "to", fmt.Sprintf("version %d is not among those kept", *to), "choose one that cobaltctl history lists")
+	return domain.Refuse(domain.ReasonNotFound, "to", fmt.Sprintf("version %d is not among the kept versions", *to), "choose one that cobaltctl history lists")
 }
 
 func status(ctx context.Context, env Env, args []string) error {
@@ -227,12 +227,12 @@
 	if _, err := f.parse(args); err != nil {
 		return err
 	}
-	client, err := f.operators()
+	client, err := f.operatorClient()
 	if err != nil {
 		return err
 	}
 	s, err := client.Status(ctx, &cobalttidev1.StatusRequest{})
-	if err := refused(err); err != nil {
+	if err := decodeError(err); err != nil {
 		return err
 	}
 	rows := [][]string{
@@ -260,12 +260,12 @@
 	if err != nil {
 		return err
 	}
-	client, err := f.operators()
+	client, err := f.operatorClient()
 	if err != nil {
 		return err
 	}
 	_, err = client.Drain(ctx, &cobalttidev1.DrainRequest{Worker: operands[0], Undo: *undo})
-	if err := refused(err); err != nil {
+	if err := decodeError(err); err != nil {
 		return err
 	}
 	return f.print(env, map[string]bool{"ok": true}, [][]string{{"done"}})
@@ -273,17 +273,17 @@
 
 func evacuate(ctx context.Context, env Env, args []string) error {
 	f := newFlags(env, "evacuate")
-	undo := f.Bool("undo", false, "take the data centre back")
+	undo := f.Bool("undo", false, "put the data centre back in use")
 	operands, err := f.parse(args, "DATA-CENTRE")
 	if err != nil {
 		return err
 	}
-	client, err := f.operators()
+	client, err := f.operatorClient()
 	if err != nil {
 		return err
 	}
 	_, err = client.Evacuate(ctx, &cobalttidev1.EvacuateRequest{DataCentre: operands[0], Undo: *undo})
-	if err := refused(err); err != nil {
+	if err := decodeError(err); err != nil {
 		return err
 	}
 	return f.print(env, map[string]bool{"ok": true}, [][]string{{"done"}})
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -14,8 +14,8 @@
 func demoCommand(ctx context.Context, env Env, args []string) error {
 	f := newFlags(env, "demo")
 	deployment := f.String("deployment", "midlands", "midlands or vestmark")
-	faults := f.Bool("faults", false, "kill, cut, lose and fail things meanwhile")
-	onPlatform := f.Bool("platform", false, "run the instances of the users' platform against its stand-in")
+	faults := f.Bool("faults", false, "inject faults during the run")
+	onPlatform := f.Bool("platform", false, "run the instances for the users' platform against a stand-in of it")
 	root := f.String("deployments", "deployments", "directory of the deployments")
 	if _, err := f.parse(args); err != nil {
 		return err
@@ -36,16 +36,16 @@
 	return nil
 }
 
-// The size of the demo on the platform's stand-in.
+// Size and time limit of the demo on the platform's stand-in.
 const (
 	platformInstances = 3
 	platformJobs      = 40
-	platformMost      = 2 * time.Minute
+	platformTimeout   = 2 * time.Minute
 )
 
 func platformDemo(env Env, faults bool) error {
 	return platformdemo.Run(platformdemo.Options{
 		Instances: platformInstances, Jobs: platformJobs, Faults: faults,
-		Report: env.Out, Log: io.Discard, Timeout: platformMost,
+		Report: env.Out, Log: io.Discard, Timeout: platformTimeout,
 	})
 }
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -11,21 +11,21 @@
 	"github.com/cobalttide/cobalttide/workload/replay"
 )
 
-// experiment plays a pattern of load under two policies on the same seeds.
+// experiment simulates a load pattern under two policies with the same seeds.
 func experiment(_ context.Context, env Env, args []string) error {
 	f := newFlags(env, "experiment")
 	pattern := f.String("pattern", "burst-urgent", "a file, or one of "+strings.Join(replay.Names(), ", "))
-	a := f.String("a", replay.Easy, "the one policy: shipping, before, easy, fifo, or without=MECHANISM,...")
-	b := f.String("b", replay.Shipping, "the other one")
+	a := f.String("a", replay.Easy, "the first policy: shipping, before, easy, fifo, or without=MECHANISM,...")
+	b := f.String("b", replay.Shipping, "the second policy")
 	first := f.Uint64("seed", 1, "the first seed")
-	seeds := f.Int("seeds", 20, "how many seeds")
-	plots := f.String("plots", "", "folder for plots of queue, room and starts over time")
+	seeds := f.Int("seeds", 20, "number of seeds")
+	plots := f.String("plots", "", "directory for plots of queue, free capacity and starts over time")
 	each := f.Bool("each", false, "print every run")
 	if _, err := f.parse(args); err != nil {
 		return err
 	}
 	if *seeds < 1 {
-		return errors.Mark(errors.New("-seeds wants 1 or more"), errUsage)
+		return errors.Mark(errors.New("-seeds must be at least 1"), errUsage)
 	}
 	p, err := replay.Load(*pattern)
 	if err != nil {
@@ -50,13 +50,13 @@
 	}
 	if *plots != "" {
 		if err := e.Plots(*plots); err != nil {
-			return errors.Wrap(err, "the plots can't be written; name a folder that can")
+			return errors.Wrap(err, "the plots can't be written; name a writable directory")
 		}
 	}
 	return e.Write(env.Out)
 }
 
-// record prints the load that instances' logs tell of as a pattern.
+// record prints a load pattern that it reconstructs from instances' logs.
 func record(_ context.Context, env Env, args []string) error {
 	lines, err := newFlags(env, "record").readLogs(args)
 	if err != nil {
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -10,29 +10,29 @@
 	"github.com/cobalttide/cobalttide/events"
 )
 
-// trace prints one job's story out of the logs of several instances.
+// trace prints the events of one job from the logs of several instances.
 func trace(_ context.Context, env Env, args []string) error {
 	f := newFlags(env, "trace")
-	all := f.Bool("all", false, "tell also who planned, what could be reached and which configuration was in force")
+	all := f.Bool("all", false, "print also which instance planned, what was reachable and which configuration was in force")
 	if err := f.Parse(args); err != nil {
 		return errors.Mark(err, errUsage)
 	}
 	if f.NArg() == 0 {
-		return errors.Mark(errors.New("name a job's id, then files with logs; without files the logs are read from standard input"), errUsage)
+		return errors.Mark(errors.New("name a job's id, then log files; without files the logs are read from standard input"), errUsage)
 	}
 	logs, closeAll, err := openLogs(f.Args()[1:])
 	if err != nil {
 		return err
 	}
 	defer closeAll()
-	story, err := events.Story(logs, f.Arg(0), *all)
+	jobEvents, err := events.Story(logs, f.Arg(0), *all)
 	if err != nil {
 		return err
 	}
-	if len(story) == 0 {
-		return errors.Newf("no line names job %s; check the id, and that the logs of all instances are there", f.Arg(0))
+	if len(jobEvents) == 0 {
+		return errors.Newf("no line names job %s; check the id, and that the logs of all instances are included", f.Arg(0))
 	}
-	return events.Format(env.Out, story)
+	return events.Format(env.Out, jobEvents)
 }
 
 func openLogs(names []string) ([]io.Reader, func(), error) {
@@ -50,7 +50,7 @@
 		file, err := os.Open(name)
 		if err != nil {
 			closeAll()
-			return nil, nil, errors.Wrap(err, "a log can't be read; name files that can")
+			return nil, nil, errors.Wrap(err, "a log can't be read; name readable files")
 		}
 		files = append(files, file)
 		logs = append(logs, file)
--- a/internal/seeded/expect.go
+++ b/internal/seeded/expect.go
@@ -9,39 +9,40 @@
 	"pgregory.net/rapid"
 )
 
-// recorder is a test that may fail without failing the one that runs it.
-type recorder struct {
+// failureRecorder is a testing.TB that records a failure without failing the test
+// that runs it.
+type failureRecorder struct {
 	testing.TB
 	failed bool
 }
 
-func (r *recorder) Helper()               {}
-func (r *recorder) Errorf(string, ...any) { r.failed = true }
-func (r *recorder) Error(...any)          { r.failed = true }
-func (r *recorder) Fatalf(string, ...any) { r.FailNow() }
-func (r *recorder) Fatal(...any)          { r.FailNow() }
-func (r *recorder) Fail()                 { r.failed = true }
-func (r *recorder) Failed() bool          { return r.failed }
-func (r *recorder) Logf(string, ...any)   {}
-func (r *recorder) Log(...any)            {}
-func (r *recorder) FailNow() {
+func (r *failureRecorder) Helper()               {}
+func (r *failureRecorder) Errorf(string, ...any) { r.failed = true }
+func (r *failureRecorder) Error(...any)          { r.failed = true }
+func (r *failureRecorder) Fatalf(string, ...any) { r.FailNow() }
+func (r *failureRecorder) Fatal(...any)          { r.FailNow() }
+func (r *failureRecorder) Fail()                 { r.failed = true }
+func (r *failureRecorder) Failed() bool          { return r.failed }
+func (r *failureRecorder) Logf(string, ...any)   {}
+func (r *failureRecorder) Log(...any)            {}
+func (r *failureRecorder) FailNow() {
 	r.failed = true
 	runtime.Goexit()
 }
 
-// catchTries is how many seeds Catches tries.
-const catchTries = 40
+// seedCount is the number of seeds that Catches tries.
+const seedCount = 40
 
-// Catches reports whether a property fails under any of a fixed row of seeds.
-// It tests a test: a property that a broken variant of the code does not fail
-// proves nothing.
+// Catches reports whether a property fails under any of a fixed set of seeds. It is
+// used to test a property test: the property must fail for a broken variant of the
+// code, or it proves nothing.
 func Catches(t testing.TB, property func(*rapid.T)) bool {
 	t.Helper()
-	// The smallest failure is looked for in vain: nobody reads it here.
-	defer set(t, "rapid.shrinktime", "0s")()
-	for seed := range catchTries {
-		restore := set(t, "rapid.seed", strconv.Itoa(seed+1))
-		failed := fails(t, property)
+	// The failure is not printed here, so there is no need to shrink it.
+	defer setFlag(t, "rapid.shrinktime", "0s")()
+	for seed := range seedCount {
+		restore := setFlag(t, "rapid.seed", strconv.Itoa(seed+1))
+		failed := propertyFails(t, property)
 		restore()
 		if failed {
 			return true
@@ -50,8 +51,8 @@
 	return false
 }
 
-func fails(t testing.TB, property func(*rapid.T)) bool {
-	r := &recorder{TB: t}
+func propertyFails(t testing.TB, property func(*rapid.T)) bool {
+	r := &failureRecorder{TB: t}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -61,8 +62,8 @@
 	return r.failed
 }
 
-// set gives a flag a value and returns what sets it back.
-func set(t testing.TB, name, value string) func() {
+// setFlag sets a flag and returns a function that restores its old value.
+func setFlag(t testing.TB, name, value string) func() {
 	t.Helper()
 	f := flag.Lookup(name)
 	if f == nil {
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded gives property tests the same seed on every run, so that CI
-// gives the same verdict on the same code. -rapid.seed N tries another one.
+// Package seeded runs property tests with the same seed every time, so that CI gives
+// the same result for the same code. The flag -rapid.seed N selects another seed.
 package seeded
 
 import (
@@ -7,33 +7,33 @@
 	"os"
 )
 
-// defaultSeed is used where the command line names none.
+// defaultSeed is used if the command line sets no seed.
 const defaultSeed = "20261202"
 
-// rapidSteps is rapid's own default number of actions in one run of a state
-// machine, and defaultSteps what replaces it: gangs need more to get going.
+// rapidSteps is rapid's own default number of actions in one run of a state machine,
+// and gangSteps replaces it: gangs need more actions to start.
 const (
-	rapidSteps   = "30"
-	defaultSteps = "150"
+	rapidSteps = "30"
+	gangSteps  = "150"
 )
 
-// Runner is what testing.M offers.
+// Runner is implemented by *testing.M.
 type Runner interface{ Run() int }
 
 // Main runs a package's tests; call it from TestMain.
 func Main(m Runner) {
 	flag.Parse()
-	replaceDefault("rapid.seed", "0", defaultSeed)
-	replaceDefault("rapid.steps", rapidSteps, defaultSteps)
+	overrideDefault("rapid.seed", "0", defaultSeed)
+	overrideDefault("rapid.steps", rapidSteps, gangSteps)
 	os.Exit(m.Run())
 }
 
-func replaceDefault(name, old, value string) {
+func overrideDefault(name, old, value string) {
 	f := flag.Lookup(name)
 	if f == nil || f.Value.String() != old {
 		return
 	}
 	if err := flag.Set(name, value); err != nil {
-		panic(err) // the flag exists and takes such values
+		panic(err) // the flag exists and accepts these values
 	}
 }
--- a/internal/virtual/queue.go
+++ b/internal/virtual/queue.go
@@ -1,5 +1,5 @@
-// Package virtual is a queue of events in virtual time, which the policy and
-// routing benchmarks play.
+// Package virtual implements an event queue in virtual time for the simulations of
+// the policy and routing benchmarks.
 package virtual
 
 import (
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// event is something to do at an instant; serial keeps the order of events at
-// the same one.
-type event struct {
+// scheduledEvent is a function to run at a virtual time. serial orders the events of
+// the same time by insertion.
+type scheduledEvent struct {
 	at     time.Duration
 	serial int
-	do     func()
+	run    func()
 }
 
-type events []event
+type events []scheduledEvent
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].serial < e[j].serial)
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *events) Push(x any)   { *e = append(*e, x.(scheduledEvent)) }
 func (e *events) Pop() any {
 	old := *e
 	last := old[len(old)-1]
@@ -30,20 +30,20 @@
 	return last
 }
 
-// Queue holds what is to happen. The zero value is empty. Not safe for
-// concurrent use.
+// Queue is a queue of events ordered by time. The zero value is an empty queue. It is
+// not safe for concurrent use.
 type Queue struct {
 	events events
 	serial int
 }
 
-// At adds something to do at an instant.
+// At adds a function to run at a virtual time.
 func (q *Queue) At(at time.Duration, do func()) {
 	q.serial++
-	heap.Push(&q.events, event{at: at, serial: q.serial, do: do})
+	heap.Push(&q.events, scheduledEvent{at: at, serial: q.serial, run: do})
 }
 
-// Next returns the instant of the next event, if there is one.
+// Next returns the time of the next event, and whether there is one.
 func (q *Queue) Next() (time.Duration, bool) {
 	if len(q.events) == 0 {
 		return 0, false
@@ -51,8 +51,8 @@
 	return q.events[0].at, true
 }
 
-// Pop removes the next event and returns it; there must be one.
+// Pop removes and returns the next event. It panics if the queue is empty.
 func (q *Queue) Pop() (at time.Duration, do func()) {
-	e := heap.Pop(&q.events).(event)
-	return e.at, e.do
+	e := heap.Pop(&q.events).(scheduledEvent)
+	return e.at, e.run
 }
