--- a/demo/cluster.go
+++ b/demo/cluster.go
@@ -50,7 +50,7 @@
 	if c.platform, err = standin.Start(fleet, "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	c.client = &http.Client{Transport: delayed{
+	c.client = &http.Client{Transport: delayedTransport{
 		next:  &http.Transport{MaxIdleConnsPerHost: 256},
 		delay: d.clientLatency,
 	}}
@@ -67,8 +67,8 @@
 	return c, nil
 }
 
-// startInstance starts an instance from its committed settings, on ports that
-// the operating system chooses.
+// startInstance starts an instance with the settings from a file, but on ports
+// chosen by the operating system and against the stand-in platform.
 func (c *cluster) startInstance(file string, d deployment) error {
 	s, err := settings.Load(file)
 	if err != nil {
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// peerDelay gives calls to other data centres the latency of the brief.
+// peerDelay returns a function that returns the round-trip latency to a peer: twice
+// the delay if it is in another data centre, otherwise 0.
 func (c *cluster) peerDelay(home domain.DataCentre, delay time.Duration) func(string) time.Duration {
 	return func(address string) time.Duration {
 		c.mu.Lock()
@@ -108,22 +109,22 @@
 	}
 }
 
-// delayed adds the latency between callers and instances to every call.
-type delayed struct {
+// delayedTransport adds the latency between callers and instances to every request.
+type delayedTransport struct {
 	next  http.RoundTripper
 	delay time.Duration
 }
 
 // RoundTrip implements http.RoundTripper.
-func (d delayed) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d delayedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	time.Sleep(d.delay)
 	response, err := d.next.RoundTrip(r)
 	time.Sleep(d.delay)
 	return response, err
 }
 
-// alive returns the instances that the balancer would use.
-func (c *cluster) alive() []*member {
+// aliveInstances returns the instances that the load balancer would use.
+func (c *cluster) aliveInstances() []*member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*member
@@ -145,13 +146,13 @@
 	if err != nil {
 		return err
 	}
-	// The first list may not have been read yet.
+	// Gives the instances time to read the first list.
 	time.Sleep(300 * time.Millisecond)
 	if _, refusal := c.instances[0].Apply(ctx, text, 0, "demo", "demo"); refusal != nil {
 		return refusal
 	}
 	end := time.Now().Add(10 * time.Second)
-	for _, m := range c.alive() {
+	for _, m := range c.aliveInstances() {
 		for m.ConfigurationVersion() < 1 {
 			if time.Now().After(end) {
 				return errors.Newf("the configuration is not in force at %s after 10 s", m.ID)
@@ -162,7 +163,7 @@
 	return nil
 }
 
-// kill ends an instance as a crash does.
+// kill ends an instance without draining it, as a crash does.
 func (c *cluster) kill(i int) domain.InstanceID {
 	c.mu.Lock()
 	m := c.instances[i]
@@ -172,12 +173,12 @@
 	return m.ID
 }
 
-// cut separates a data centre from the platform and from the other instances;
-// heal undoes it.
+// cut disconnects a data centre from the platform and its instances from those of
+// the other data centres. undoCut reverts it.
 func (c *cluster) cut(dc domain.DataCentre) {
 	c.platform.SetCut(dc)
-	for _, a := range c.alive() {
-		for _, b := range c.alive() {
+	for _, a := range c.aliveInstances() {
+		for _, b := range c.aliveInstances() {
 			if (a.Settings.DataCentre == dc) != (b.Settings.DataCentre == dc) {
 				a.PeerPool().Block(b.PeersAddress())
 			}
@@ -185,16 +186,16 @@
 	}
 }
 
-func (c *cluster) heal() {
+func (c *cluster) undoCut() {
 	c.platform.SetCut()
-	for _, m := range c.alive() {
+	for _, m := range c.aliveInstances() {
 		m.PeerPool().Unblock()
 	}
 }
 
 func (c *cluster) stop() {
 	var wg sync.WaitGroup
-	for _, m := range c.alive() {
+	for _, m := range c.aliveInstances() {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs a whole deployment in one process: the committed settings
-// and declarations, two instances a data centre, and the stand-ins, over TCP on
-// loopback, through the same code as the daemons. It submits all kinds of work
-// of the deployment, holds what came against what was promised, and reports.
+// Package demo runs a whole deployment in one process over TCP on loopback: the
+// committed settings and declarations, two instances per data centre, and the
+// stand-ins. It uses the same code as the daemons. It submits all kinds of work of
+// the deployment, checks the outcomes against the invariants, and reports them.
 package demo
 
 import (
@@ -13,20 +13,20 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// Options choose what runs.
+// Options configures a run.
 type Options struct {
-	// Root is the directory of the deployments, Deployment one of them.
+	// Root is the directory of the deployments, Deployment the name of the one to run.
 	Root, Deployment string
-	// Faults kills, cuts, loses and fails things meanwhile.
+	// Faults injects faults during the run.
 	Faults bool
-	// Progress gets a line every few seconds; may be nil.
+	// Progress receives a line every few seconds; it may be nil.
 	Progress io.Writer
 }
 
-// deployment is what differs between the two users.
+// deployment holds what differs between the two deployments.
 type deployment struct {
-	// clientLatency is one way between callers and instances, dcLatency between
-	// data centres.
+	// clientLatency is the one-way latency between callers and instances, dcLatency
+	// the one between data centres.
 	clientLatency, dcLatency time.Duration
 	interactive, once        domain.ClassName
 	gangs                    []domain.ClassName
@@ -48,17 +48,17 @@
 	},
 }
 
-// The length of a run and its load.
+// Duration and load of a run.
 const (
-	loadTime        = 20 * time.Second
-	interactiveRate = 240 // requests a second over all instances
+	loadDuration    = 20 * time.Second
+	interactiveRate = 240 // requests per second over all instances
 	onceRate        = 60
-	gangEvery       = 250 * time.Millisecond
-	endPatience     = 30 * time.Second
+	gangInterval    = 250 * time.Millisecond
+	endTimeout      = 30 * time.Second
 )
 
-// Run runs a deployment and reports. An error says that it could not run at
-// all; broken invariants are in the report.
+// Run runs a deployment and returns a report. It returns an error only if the
+// deployment could not run; broken invariants are in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	d, ok := deployments[options.Deployment]
 	if !ok {
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -9,15 +9,15 @@
 	"github.com/cobalttide/cobalttide/standin"
 )
 
-// fault is one thing that goes wrong at a time of the run.
+// fault is a fault that is injected, or cleared, at a time of the run.
 type fault struct {
-	at   time.Duration
-	what string
-	do   func(c *cluster)
+	at          time.Duration
+	description string
+	inject      func(c *cluster)
 }
 
-// faults are the brief's, one after another and some at once.
-func faults(c *cluster) []fault {
+// faultSchedule returns the faults of a run in order. Some of them overlap.
+func faultSchedule(c *cluster) []fault {
 	workers := c.fleet.Workers("")
 	cut := c.fleet.DataCentres[len(c.fleet.DataCentres)-1].Name
 	return []fault{
@@ -40,12 +40,12 @@
 			c.platform.Log.SetFaults(standin.LogFaults{Down: true})
 		}},
 		{12 * time.Second, "the log service is back", func(c *cluster) { c.platform.Log.SetFaults(standin.LogFaults{}) }},
-		{13 * time.Second, "a worker restarts with nothing on it", func(c *cluster) {
+		{13 * time.Second, "a worker restarts and loses its tasks", func(c *cluster) {
 			c.platform.Worker(workers[1].ID).Restart()
 		}},
 		{14 * time.Second, fmt.Sprintf("data centre %s is cut off", cut), func(c *cluster) { c.cut(cut) }},
-		{18 * time.Second, fmt.Sprintf("data centre %s is back", cut), func(c *cluster) { c.heal() }},
-		{19 * time.Second, "backend servers and the worker are well again", func(c *cluster) {
+		{18 * time.Second, fmt.Sprintf("data centre %s is back", cut), func(c *cluster) { c.undoCut() }},
+		{19 * time.Second, "backend servers and the worker have recovered", func(c *cluster) {
 			for _, b := range c.platform.Backends() {
 				b.SetFaults(standin.BackendFaults{})
 			}
@@ -56,20 +56,20 @@
 
 func (c *cluster) runFaults(progress io.Writer) {
 	began := time.Now()
-	for _, f := range faults(c) {
+	for _, f := range faultSchedule(c) {
 		time.Sleep(time.Until(began.Add(f.at)))
-		say(progress, "%5.1fs fault: %s", time.Since(began).Seconds(), f.what)
-		f.do(c)
+		logProgress(progress, "%5.1fs fault: %s", time.Since(began).Seconds(), f.description)
+		f.inject(c)
 	}
 }
 
-func say(w io.Writer, format string, args ...any) {
+func logProgress(w io.Writer, format string, args ...any) {
 	if w != nil {
 		fmt.Fprintf(w, format+"\n", args...)
 	}
 }
 
-// largestGuarantee is the largest shape that any account is guaranteed in a
+// largestGuarantee returns the largest shape that an account is guaranteed in a
 // data centre.
 func (c *cluster) largestGuarantee(dc domain.DataCentre) domain.Shape {
 	var best domain.Shape
--- a/demo/load.go
+++ b/demo/load.go
@@ -19,43 +19,43 @@
 	"github.com/cobalttide/cobalttide/state"
 )
 
-// tally is what became of one class.
-type tally struct {
+// classStats counts the outcomes of one class.
+type classStats struct {
 	submitted, correct, late, unknown, failed int
 	refused                                   map[domain.Reason]int
 	times                                     *hdrhistogram.Histogram
 }
 
-func newTally() *tally {
-	return &tally{refused: map[domain.Reason]int{}, times: hdrhistogram.New(1, 600_000_000, 3)}
+func newClassStats() *classStats {
+	return &classStats{refused: map[domain.Reason]int{}, times: hdrhistogram.New(1, 600_000_000, 3)}
 }
 
-// sent is one request and what its caller was told in the end.
-type sent struct {
+// requestRecord is one request and its final outcome for the caller.
+type requestRecord struct {
 	class   domain.ClassName
 	account domain.AccountID
 	id      string
-	// notRun is set when every answer said that it was not run.
+	// notRun is set if every response stated that the request was not run.
 	notRun bool
 	whole  bool
 }
 
-// load sends work as callers would, through a balancer that knows no more than
-// which instances answer.
+// load submits work like callers behind a load balancer that sends requests to any
+// instance that responds.
 type load struct {
 	c *cluster
 	d deployment
 
 	mu         sync.Mutex
-	tallies    map[domain.ClassName]*tally
-	sent       []sent
-	jobs       []submitted
+	stats      map[domain.ClassName]*classStats
+	requests   []requestRecord
+	accepted   []acceptedJob
 	violations []string
 	wg         sync.WaitGroup
 }
 
-// submitted is one accepted job.
-type submitted struct {
+// acceptedJob is one accepted job.
+type acceptedJob struct {
 	id      domain.JobID
 	account domain.AccountID
 	class   domain.ClassName
@@ -64,60 +64,60 @@
 }
 
 func newLoad(c *cluster, d deployment) *load {
-	return &load{c: c, d: d, tallies: map[domain.ClassName]*tally{}}
+	return &load{c: c, d: d, stats: map[domain.ClassName]*classStats{}}
 }
 
-func (l *load) tally(class domain.ClassName) *tally {
-	t, ok := l.tallies[class]
+func (l *load) statsOf(class domain.ClassName) *classStats {
+	t, ok := l.stats[class]
 	if !ok {
-		t = newTally()
-		l.tallies[class] = t
+		t = newClassStats()
+		l.stats[class] = t
 	}
 	return t
 }
 
-func (l *load) with(class domain.ClassName, f func(t *tally)) {
+func (l *load) updateStats(class domain.ClassName, f func(t *classStats)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f(l.tally(class))
+	f(l.statsOf(class))
 }
 
-func (l *load) violation(format string, args ...any) {
+func (l *load) addViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
 func (l *load) run(ctx context.Context, progress io.Writer) {
-	ctx, cancel := context.WithTimeout(ctx, loadTime)
+	ctx, cancel := context.WithTimeout(ctx, loadDuration)
 	defer cancel()
 	began := time.Now()
 	random := rand.New(rand.NewPCG(1, 2))
 	interactive := time.NewTicker(time.Second / interactiveRate)
 	once := time.NewTicker(time.Second / onceRate)
-	gangs := time.NewTicker(gangEvery)
+	gangs := time.NewTicker(gangInterval)
 	report := time.NewTicker(5 * time.Second)
 	for n := 0; ctx.Err() == nil; n++ {
 		account := l.d.accounts[random.IntN(len(l.d.accounts))]
 		select {
 		case <-interactive.C:
-			l.spawn(func() { l.request(l.d.interactive, account, fmt.Sprintf("i%d", n), rand.IntN(20)) })
+			l.start(func() { l.sendRequest(l.d.interactive, account, fmt.Sprintf("i%d", n), rand.IntN(20)) })
 		case <-once.C:
-			l.spawn(func() { l.request(l.d.once, account, fmt.Sprintf("o%d", n), rand.IntN(20)) })
+			l.start(func() { l.sendRequest(l.d.once, account, fmt.Sprintf("o%d", n), rand.IntN(20)) })
 		case <-gangs.C:
 			job := l.newJob(random, account, n)
-			l.spawn(func() { l.submit(job) })
+			l.start(func() { l.submit(job) })
 		case <-report.C:
-			say(progress, "%5.1fs %s", time.Since(began).Seconds(), l.progress())
+			logProgress(progress, "%5.1fs %s", time.Since(began).Seconds(), l.progress())
 		case <-ctx.Done():
 		}
 	}
 	l.wg.Wait()
-	say(progress, "%5.1fs all is submitted; waiting for the gangs", time.Since(began).Seconds())
+	logProgress(progress, "%5.1fs all work is submitted; waiting for the gangs", time.Since(began).Seconds())
 	l.awaitJobs()
 }
 
-func (l *load) spawn(f func()) {
+func (l *load) start(f func()) {
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
@@ -129,34 +129,35 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := ""
-	for class, t := range l.tallies {
+	for class, t := range l.stats {
 		out += fmt.Sprintf("%s %d/%d  ", class, t.correct, t.submitted)
 	}
 	return out
 }
 
-// callerTries is how often a caller comes back before it gives a request up.
-const callerTries = 8
+// maxAttempts is the number of attempts after which a caller gives up a request.
+const maxAttempts = 8
 
-// request sends one request until it has an answer, as a caller behind the
-// balancer would: again with the same id, at another instance, not before it
-// was told to.
-func (l *load) request(class domain.ClassName, account domain.AccountID, id string, millis int) {
+// sendRequest sends a request until it has an answer, as a caller behind the load
+// balancer would: it retries with the same id at a random instance, after the pause
+// that the refusal asks for but at most 1 s. It gives up after maxAttempts, or if an
+// instance responds that the outcome is unknown and the class is not idempotent.
+func (l *load) sendRequest(class domain.ClassName, account domain.AccountID, id string, millis int) {
 	body, _ := json.Marshal(standin.Work{Duration: domain.Duration(time.Duration(millis) * time.Millisecond), Stream: millis%4 == 0, Size: 100 * millis})
-	l.with(class, func(t *tally) { t.submitted++ })
+	l.updateStats(class, func(t *classStats) { t.submitted++ })
 	expectation := l.c.declared.Classes[class].Expectation.Std()
 	began := time.Now()
-	record := sent{class: class, account: account, id: id, notRun: true}
+	record := requestRecord{class: class, account: account, id: id, notRun: true}
 	var last *domain.Refusal
-	for range callerTries {
-		refusal := l.try(class, account, id, body)
+	for range maxAttempts {
+		refusal := l.attempt(class, account, id, body)
 		if refusal == nil {
 			record.whole = true
 			break
 		}
 		last = refusal
 		record.notRun = record.notRun && refusal.Outcome == domain.NotRun
-		if refusal.Outcome == domain.Unknown && !l.c.declared.Classes[class].Idempotent && refusal.Reason != reasonConnection {
+		if refusal.Outcome == domain.Unknown && !l.c.declared.Classes[class].Idempotent && refusal.Reason != reasonNoResponse {
 			break
 		}
 		time.Sleep(min(refusal.RetryAfter.Std(), time.Second))
@@ -164,8 +165,8 @@
 	took := time.Since(began)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.tally(class)
-	l.sent = append(l.sent, record)
+	t := l.statsOf(class)
+	l.requests = append(l.requests, record)
 	switch {
 	case record.whole:
 		t.correct++
@@ -180,34 +181,33 @@
 	}
 }
 
-// reasonConnection is the caller's own reason for a call without an answer.
-const reasonConnection domain.Reason = "connection"
+// reasonNoResponse is the caller's own reason for a call without a valid response.
+const reasonNoResponse domain.Reason = "connection"
 
-// try sends a request once and checks that the answer is the whole answer to
-// this request and no other.
-func (l *load) try(class domain.ClassName, account domain.AccountID, id string, body []byte) *domain.Refusal {
-	alive := l.c.alive()
+// attempt sends a request once and checks that the answer belongs to this request.
+func (l *load) attempt(class domain.ClassName, account domain.AccountID, id string, body []byte) *domain.Refusal {
+	alive := l.c.aliveInstances()
 	target := alive[rand.IntN(len(alive))]
 	request, err := http.NewRequest(http.MethodPost, "http://"+target.CallersAddress()+"/v1/requests/"+string(class), bytes.NewReader(body))
 	if err != nil {
-		return domain.OutcomeUnknown(reasonConnection, err.Error())
+		return domain.OutcomeUnknown(reasonNoResponse, err.Error())
 	}
 	request.Header.Set("Authorization", "Bearer "+string(account)+"-development")
 	request.Header.Set("Cobalttide-Request-Id", id)
 	response, err := l.c.client.Do(request)
 	if err != nil {
-		return domain.OutcomeUnknown(reasonConnection, err.Error())
+		return domain.OutcomeUnknown(reasonNoResponse, err.Error())
 	}
 	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		return domain.OutcomeUnknown(reasonConnection, err.Error())
+		return domain.OutcomeUnknown(reasonNoResponse, err.Error())
 	}
 	if response.StatusCode != http.StatusOK {
 		return decodeRefusal(raw)
 	}
 	if want := standin.Answer(string(account), id, body); !strings.HasPrefix(string(raw), want) {
-		l.violation("request %s of %s got another answer", id, account)
+		l.addViolation("request %s of account %s got the answer to another request", id, account)
 	}
 	return nil
 }
@@ -215,26 +215,27 @@
 func decodeRefusal(raw []byte) *domain.Refusal {
 	var refusal domain.Refusal
 	if err := json.Unmarshal(raw, &refusal); err != nil {
-		return domain.OutcomeUnknown(reasonConnection, string(raw))
+		return domain.OutcomeUnknown(reasonNoResponse, string(raw))
 	}
 	return &refusal
 }
 
-// gangSizes are the tasks of 8 accelerators that the demo's gangs have.
-// Those that can't be preempted have to fit beside the guarantees.
+// gangSizes are the numbers of tasks, each with 8 accelerators, of the demo's gangs.
+// Gangs that can't be preempted use nonPreemptibleSizes, since they have to fit
+// beside the guarantees.
 var (
-	gangSizes   = []int{1, 1, 1, 2, 2, 4, 8}
-	pinnedSizes = []int{1, 1, 2, 4}
+	gangSizes           = []int{1, 1, 1, 2, 2, 4, 8}
+	nonPreemptibleSizes = []int{1, 1, 2, 4}
 )
 
 func (l *load) newJob(random *rand.Rand, account domain.AccountID, n int) domain.Job {
 	dcs := l.c.fleet.DataCentres
 	run := time.Duration(500+random.IntN(2500)) * time.Millisecond
-	factor := []float64{0.25, 1, 1, 4}[random.IntN(4)] // declarations lie
+	factor := []float64{0.25, 1, 1, 4}[random.IntN(4)] // estimates are inaccurate
 	class := l.d.gangs[random.IntN(len(l.d.gangs))]
 	sizes := gangSizes
 	if !l.c.declared.Classes[class].Preemptible() {
-		sizes = pinnedSizes
+		sizes = nonPreemptibleSizes
 	}
 	return domain.Job{
 		ID: domain.JobID(fmt.Sprintf("g%d", n)), Account: account, Class: class,
@@ -251,30 +252,30 @@
 
 // submit submits a job until it is accepted.
 func (l *load) submit(job domain.Job) {
-	l.with(job.Class, func(t *tally) { t.submitted++ })
+	l.updateStats(job.Class, func(t *classStats) { t.submitted++ })
 	began := time.Now()
-	for range 4 * callerTries {
-		alive := l.c.alive()
+	for range 4 * maxAttempts {
+		alive := l.c.aliveInstances()
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		_, err := alive[rand.IntN(len(alive))].Submit(ctx, job)
 		cancel()
 		if err == nil {
 			l.mu.Lock()
-			l.jobs = append(l.jobs, submitted{id: job.ID, account: job.Account, class: job.Class, dc: job.DataCentre, at: began})
+			l.accepted = append(l.accepted, acceptedJob{id: job.ID, account: job.Account, class: job.Class, dc: job.DataCentre, at: began})
 			l.mu.Unlock()
 			return
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	l.with(job.Class, func(t *tally) { t.refused[domain.ReasonLogUnavailable]++ })
+	l.updateStats(job.Class, func(t *classStats) { t.refused[domain.ReasonLogUnavailable]++ })
 }
 
-// awaitJobs follows every accepted job to its end.
+// awaitJobs waits for every accepted job to end, and counts the outcomes.
 func (l *load) awaitJobs() {
-	end := time.Now().Add(endPatience)
-	for _, job := range l.jobs {
+	end := time.Now().Add(endTimeout)
+	for _, job := range l.accepted {
 		status := l.awaitJob(job, end)
-		l.with(job.class, func(t *tally) {
+		l.updateStats(job.class, func(t *classStats) {
 			switch status.State {
 			case domain.JobCompleted:
 				t.correct++
@@ -282,19 +283,19 @@
 			case domain.JobUnknown:
 				t.unknown++
 			case domain.JobFailed:
-				// True, where a worker fails every task: a job that must not
-				// run twice is not tried elsewhere.
+				// Expected if a worker fails every task: a job that must not run
+				// twice is not retried on another worker.
 				t.failed++
 			default:
-				l.violations = append(l.violations, fmt.Sprintf("job %s of class %s in %s is %s (%s) in the end", job.id, job.class, job.dc, status.State, status.Cause))
+				l.violations = append(l.violations, fmt.Sprintf("job %s of class %s in %s has the unexpected final state %s (%s)", job.id, job.class, job.dc, status.State, status.Cause))
 			}
 		})
 	}
 }
 
-func (l *load) awaitJob(job submitted, end time.Time) state.Status {
+func (l *load) awaitJob(job acceptedJob, end time.Time) state.Status {
 	for {
-		status, err := l.c.askJob(job)
+		status, err := l.c.jobStatus(job)
 		if err == nil && (status.State.Final() || time.Now().After(end)) {
 			return status
 		}
@@ -305,9 +306,9 @@
 	}
 }
 
-// askJob asks an instance of the job's data centre.
-func (c *cluster) askJob(job submitted) (status state.Status, err error) {
-	for _, m := range c.alive() {
+// jobStatus queries an instance of the job's data centre for the job's status.
+func (c *cluster) jobStatus(job acceptedJob) (status state.Status, err error) {
+	for _, m := range c.aliveInstances() {
 		if m.Settings.DataCentre == job.dc {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
--- a/demo/report.go
+++ b/demo/report.go
@@ -9,29 +9,30 @@
 	"github.com/cobalttide/cobalttide/domain"
 )
 
-// ClassReport is what was promised and what came, for one class.
+// ClassReport counts the outcomes of one class.
 type ClassReport struct {
 	Class     domain.ClassName `json:"class"`
 	Submitted int              `json:"submitted"`
-	// Correct completed once, with the whole answer to their own request.
+	// Correct counts jobs that completed, and requests that got the answer to
+	// themselves.
 	Correct int `json:"correct"`
 	Late    int `json:"late"`
-	// Unknown were told that their outcome is not known.
+	// Unknown counts jobs and requests with an unknown outcome.
 	Unknown int `json:"unknown"`
-	// Failed are jobs that must not run twice and whose tasks failed.
+	// Failed counts jobs that must not run twice and whose tasks failed.
 	Failed  int                   `json:"failed"`
 	Refused map[domain.Reason]int `json:"refused,omitempty"`
 	P50     domain.Duration       `json:"p50"`
 	P99     domain.Duration       `json:"p99"`
 }
 
-// Report is a demo's result.
+// Report is the result of a demo.
 type Report struct {
 	Classes []ClassReport `json:"classes"`
-	// Fragmentation is the time average share of free accelerators that the
+	// Fragmentation is the share of free accelerators, averaged over time, that the
 	// largest guaranteed shape can't use.
 	Fragmentation float64 `json:"fragmentation"`
-	// Violations are broken invariants.
+	// Violations describes the broken invariants.
 	Violations []string `json:"violations"`
 }
 
@@ -41,7 +42,7 @@
 	for _, c := range r.Classes {
 		rows = append(rows, []string{
 			string(c.Class), fmt.Sprint(c.Submitted), fmt.Sprint(c.Correct), fmt.Sprint(c.Late), fmt.Sprint(c.Unknown), fmt.Sprint(c.Failed),
-			refusedText(c.Refused), c.P50.Std().Round(100 * time.Microsecond).String(), c.P99.Std().Round(100 * time.Microsecond).String(),
+			formatRefusals(c.Refused), c.P50.Std().Round(100 * time.Microsecond).String(), c.P99.Std().Round(100 * time.Microsecond).String(),
 		})
 	}
 	rows = append(rows, []string{fmt.Sprintf("fragmentation %.1f %%, broken invariants %d", 100*r.Fragmentation, len(r.Violations))})
@@ -51,7 +52,7 @@
 	return rows
 }
 
-func refusedText(refused map[domain.Reason]int) string {
+func formatRefusals(refused map[domain.Reason]int) string {
 	if len(refused) == 0 {
 		return "0"
 	}
@@ -63,20 +64,21 @@
 	return fmt.Sprint(reasons)
 }
 
-// report holds what callers were told against what backend servers ran.
+// report checks the responses to callers against what the backend servers ran, and
+// returns the report of all classes.
 func (l *load) report(w *watcher, faults bool) Report {
 	l.checkRuns()
 	r := Report{Fragmentation: w.fragmentation()}
-	for class, t := range l.tallies {
+	for class, t := range l.stats {
 		r.Classes = append(r.Classes, ClassReport{
 			Class: class, Submitted: t.submitted, Correct: t.correct, Late: t.late, Unknown: t.unknown, Failed: t.failed, Refused: t.refused,
 			P50: micros(t.times.ValueAtQuantile(50)), P99: micros(t.times.ValueAtQuantile(99)),
 		})
 		if t.failed > 0 && l.c.declared.Classes[class].Idempotent {
-			l.violation("%d of class %s failed although they could have been tried elsewhere", t.failed, class)
+			l.addViolation("%d of class %s failed although they could have been retried on another worker", t.failed, class)
 		}
 		if missed := t.submitted - t.correct; missed > 0 && !faults {
-			l.violation("%d of class %s did not complete although nothing failed", missed, class)
+			l.addViolation("%d of class %s did not complete although no fault was injected", missed, class)
 		}
 	}
 	sort.Slice(r.Classes, func(i, j int) bool { return r.Classes[i].Class < r.Classes[j].Class })
@@ -86,8 +88,8 @@
 
 func micros(n int64) domain.Duration { return domain.Duration(time.Duration(n) * time.Microsecond) }
 
-// checkRuns: what must not run twice ran at most once, and what was said not to
-// have run did not.
+// checkRuns adds a violation for each request that must not run twice but did, and
+// for each request that ran although its caller was told that it did not.
 func (l *load) checkRuns() {
 	ran := map[string]int{}
 	for _, b := range l.c.platform.Backends() {
@@ -95,13 +97,13 @@
 			ran[id] += n
 		}
 	}
-	for _, s := range l.sent {
+	for _, s := range l.requests {
 		n := ran[string(s.account)+"/"+s.id]
 		if n > 1 && !l.c.declared.Classes[s.class].Idempotent {
-			l.violation("request %s of class %s ran %d times", s.id, s.class, n)
+			l.addViolation("request %s of class %s ran %d times", s.id, s.class, n)
 		}
 		if n > 0 && s.notRun && !s.whole {
-			l.violation("request %s of class %s ran although its caller was told that it did not", s.id, s.class)
+			l.addViolation("request %s of class %s ran although its caller was told that it did not", s.id, s.class)
 		}
 	}
 }
--- a/demo/watcher.go
+++ b/demo/watcher.go
@@ -11,32 +11,32 @@
 	"github.com/cobalttide/cobalttide/scheduler/placement"
 )
 
-// watcher looks at the workers themselves, which no instance can deceive, and
-// notes every gang that runs with only some of its members or twice, and how
-// fragmented the free accelerators are.
+// watcher polls the workers directly, independently of the instances. It records
+// gangs that run with only some of their members, jobs that run twice at once, and
+// the fragmentation of the free accelerators.
 type watcher struct {
 	c      *cluster
 	ticker *time.Ticker
-	ended  chan struct{}
+	quit   chan struct{}
 	done   chan struct{}
 
-	mu         sync.Mutex
-	violations []string
-	short      map[domain.Incarnation]time.Time
-	unusable   float64
-	free       float64
+	mu           sync.Mutex
+	violations   []string
+	partialSince map[domain.Incarnation]time.Time
+	unusableSum  float64
+	freeSum      float64
 }
 
-const watchEvery = 20 * time.Millisecond
+const watchInterval = 20 * time.Millisecond
 
-// partialLimit is how long the rest of a gang may go on after a member's death:
-// one and a half leases, and what the looks in between may miss.
+// partialLimit is how long the rest of a gang may run on after a member has ended:
+// one and a half leases, plus a margin for the pauses between polls.
 var partialLimit = gang.DefaultTiming().Lease*3/2 + time.Second
 
 func newWatcher(c *cluster) *watcher {
 	return &watcher{
-		c: c, ticker: time.NewTicker(watchEvery), ended: make(chan struct{}), done: make(chan struct{}),
-		short: map[domain.Incarnation]time.Time{},
+		c: c, ticker: time.NewTicker(watchInterval), quit: make(chan struct{}), done: make(chan struct{}),
+		partialSince: map[domain.Incarnation]time.Time{},
 	}
 }
 
@@ -44,47 +44,47 @@
 	defer close(w.done)
 	for {
 		select {
-		case <-w.ended:
+		case <-w.quit:
 			return
 		case <-w.ticker.C:
-			w.look(time.Now())
+			w.observe(time.Now())
 		}
 	}
 }
 
 func (w *watcher) stop() {
-	close(w.ended)
+	close(w.quit)
 	<-w.done
 }
 
-func (w *watcher) violation(format string, args ...any) {
+func (w *watcher) addViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// view is one gang over all its workers.
-type view struct {
+// gangView counts the members of one gang over all its workers.
+type gangView struct {
 	size, present, running int
 }
 
-func (w *watcher) look(now time.Time) {
-	gangs := map[domain.Incarnation]*view{}
+func (w *watcher) observe(now time.Time) {
+	gangs := map[domain.Incarnation]*gangView{}
 	free := map[domain.DataCentre]*placement.Cluster{}
 	for _, dc := range w.c.fleet.DataCentres {
 		free[dc.Name] = placement.NewCluster(w.workersOf(dc.Name))
 	}
 	for _, spec := range w.c.fleet.Workers("") {
 		for _, m := range w.c.platform.Worker(spec.ID).Members() {
-			note(gangs, m)
+			addMember(gangs, m)
 			if m.State.Live() {
 				node := free[spec.DataCentre].Node(spec.ID)
 				node.Used = node.Used.Add(m.PerTask.Times(m.Tasks))
 			}
 		}
 	}
-	w.judge(gangs, now)
-	w.measure(free)
+	w.checkInvariants(gangs, now)
+	w.addFragmentation(free)
 }
 
 func (w *watcher) workersOf(dc domain.DataCentre) []domain.Worker {
@@ -97,10 +97,10 @@
 	return out
 }
 
-func note(gangs map[domain.Incarnation]*view, m port.Member) {
+func addMember(gangs map[domain.Incarnation]*gangView, m port.Member) {
 	v, ok := gangs[m.Gang]
 	if !ok {
-		v = &view{}
+		v = &gangView{}
 		gangs[m.Gang] = v
 	}
 	v.size = max(v.size, m.Members)
@@ -113,44 +113,44 @@
 	}
 }
 
-// judge holds every gang against the invariants. Workers are looked at one
-// after another, so a gang counts as short only when it stays so.
-func (w *watcher) judge(gangs map[domain.Incarnation]*view, now time.Time) {
+// checkInvariants checks every gang against the invariants. Workers are polled one
+// after another, so a gang counts as partial only if it stays so for partialLimit.
+func (w *watcher) checkInvariants(gangs map[domain.Incarnation]*gangView, now time.Time) {
 	running := map[domain.JobID]domain.Incarnation{}
 	for id, v := range gangs {
 		if v.running == 0 || v.present >= v.size {
-			delete(w.short, id)
-		} else if since, known := w.short[id]; !known {
-			w.short[id] = now
+			delete(w.partialSince, id)
+		} else if since, known := w.partialSince[id]; !known {
+			w.partialSince[id] = now
 		} else if now.Sub(since) > partialLimit {
-			w.violation("gang %v has run with %d of %d members for %v", id, v.present, v.size, now.Sub(since))
-			w.short[id] = now
+			w.addViolation("gang %v has run with %d of %d members for %v", id, v.present, v.size, now.Sub(since))
+			w.partialSince[id] = now
 		}
 		if v.running == 0 {
 			continue
 		}
 		if other, twice := running[id.Job]; twice {
-			w.violation("job %s runs twice at once: %v and %v", id.Job, id, other)
+			w.addViolation("job %s runs twice at once: %v and %v", id.Job, id, other)
 		}
 		running[id.Job] = id
 	}
 }
 
-// measure adds up the free accelerators, and those that the largest guaranteed
-// shape can't use.
-func (w *watcher) measure(clusters map[domain.DataCentre]*placement.Cluster) {
+// addFragmentation adds the numbers of free accelerators, and of those that the
+// largest guaranteed shape can't use, to the sums.
+func (w *watcher) addFragmentation(clusters map[domain.DataCentre]*placement.Cluster) {
 	for dc, cluster := range clusters {
 		free, unusable := placement.Fragmentation(cluster, w.c.largestGuarantee(dc))
-		w.free += float64(free)
-		w.unusable += float64(unusable)
+		w.freeSum += float64(free)
+		w.unusableSum += float64(unusable)
 	}
 }
 
-// fragmentation is the time average share of free accelerators that the largest
-// guaranteed shape can't use.
+// fragmentation returns the share of free accelerators, averaged over time, that the
+// largest guaranteed shape can't use.
 func (w *watcher) fragmentation() float64 {
-	if w.free == 0 {
+	if w.freeSum == 0 {
 		return 0
 	}
-	return w.unusable / w.free
+	return w.unusableSum / w.freeSum
 }
