--- a/cmd/cobaltctl/main.go
+++ b/cmd/cobaltctl/main.go
@@ -1,5 +1,5 @@
-// Command cobaltctl drives cobalttide for operators and callers. It holds no
-// logic of its own: see package command.
+// Command cobaltctl is the command line of cobalttide for operators and callers. It is
+// implemented in package command.
 package main
 
 import (
--- a/cmd/cobalttide-entry/main.go
+++ b/cmd/cobalttide-entry/main.go
@@ -1,5 +1,5 @@
 // Command cobalttide-entry is the entry instance of cobalttide on the users'
-// platform. It holds no logic of its own: see package platform.
+// platform. It is implemented in package platform.
 package main
 
 import (
@@ -23,7 +23,7 @@
 func run() int {
 	file := flag.String("settings", os.Getenv(platform.SettingsVariable), "settings file of the platform")
 	check := flag.Bool("check", false, "check the settings and exit")
-	without := flag.String("without", "", "mechanisms of the policy to switch off, separated by commas")
+	without := flag.String("without", "", "mechanisms of the policy to disable, separated by commas")
 	flag.Parse()
 	settings, err := platform.Load(*file)
 	if err != nil {
--- a/cmd/cobalttided/main.go
+++ b/cmd/cobalttided/main.go
@@ -1,5 +1,5 @@
-// Command cobalttided is the entry instance of cobalttide. It holds no logic of
-// its own: see package instance.
+// Command cobalttided is the entry instance of cobalttide. It is implemented in package
+// instance.
 package main
 
 import (
@@ -25,7 +25,7 @@
 
 func run() int {
 	file := flag.String("settings", "", "settings file, JSON with comments")
-	check := flag.Bool("check", false, "check the settings, print every mistake, and exit")
+	check := flag.Bool("check", false, "check the settings, print all errors, and exit")
 	flag.Usage = usage
 	flag.Parse()
 	s, err := settings.Load(*file)
@@ -57,8 +57,8 @@
   cobalttided -settings deployments/midlands/settings/tyseley-1.json
   cobalttided -check -settings FILE
 
-SIGTERM or SIGINT drains it: it finishes what it holds, then exits with 0.
-Exit codes: 0 ended as asked, 1 failed, 2 settings are wrong.
+SIGTERM or SIGINT drains it: it finishes the requests in progress, then exits with 0.
+Exit codes: 0 success, 1 failed, 2 invalid settings.
 
 `)
 	flag.PrintDefaults()
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs the stand-ins of the platform and of backend servers, for
+// Command standin runs the stand-ins for the platform and for backend servers. It is for
 // development and tests only.
 package main
 
@@ -39,11 +39,11 @@
 }
 
 func usage() {
-	fmt.Fprint(os.Stderr, `standin takes the platform's place: log service, lists, workers, backend servers.
+	fmt.Fprint(os.Stderr, `standin runs stand-ins for the platform's log service, lists and workers, and for backend servers.
 
   standin -fleet deployments/midlands/fleet.json -listen 127.0.0.1:7100
 
-Faults are switched at run time:
+Faults are switched on and off at run time:
 
   curl -d '{"log":{"down":true}}' http://127.0.0.1:7100/faults
   curl -d '{"worker":"tyseley-hall-r0-w0","worker_faults":{"fail_tasks":true}}' http://127.0.0.1:7100/faults
