--- a/tools/generate.sh
+++ b/tools/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Generates the operators' RPC code from its schema, into the folder given
-# (default: api). The generators are pinned by tools/go.mod.
+# Generates the operators' RPC code from its schema into the given directory
+# (default: api). tools/go.mod pins the versions of the generators.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 out=$(cd "${1:-$root/api}" && pwd)
