--- a/bench/bounds_test.go
+++ b/bench/bounds_test.go
@@ -25,7 +25,7 @@
 func TestPlanAllocationsGrowNoWorseThanLinearly(t *testing.T) {
 	allocs := func(workers int) float64 {
 		s := planSnapshot(workers, 1)
-		return testing.AllocsPerRun(3, func() { scheduler.Make(s, scheduler.DefaultPolicy()) })
+		return testing.AllocsPerRun(3, func() { scheduler.MakePlan(s, scheduler.DefaultPolicy()) })
 	}
 	small, large := allocs(200), allocs(2000)
 	if large > 12*small {
--- a/bench/plan_test.go
+++ b/bench/plan_test.go
@@ -27,13 +27,13 @@
 	for i := range workers / 4 {
 		placement := domain.Placement{{Worker: s.Workers[2*i].ID, Tasks: 1}}
 		job := domain.Job{ID: domain.JobID(fmt.Sprint("g", i)), Account: domain.AccountID(fmt.Sprint("a", i%23)), Shape: domain.Shape{Tasks: 1, PerTask: shape.PerTask}}
-		s.Gangs = append(s.Gangs, scheduler.Gang{Job: job, Class: class, Placement: placement, Started: s.Now, Saved: s.Now, Remaining: time.Duration(i+1) * time.Minute})
+		s.Gangs = append(s.Gangs, scheduler.Gang{Job: job, Class: class, Placement: placement, Started: s.Now, LastCheckpoint: s.Now, Remaining: time.Duration(i+1) * time.Minute})
 	}
 	for i := range waiting {
 		size := []int{1, 1, 2, 4, 8, 128}[i%6]
 		job := domain.Job{ID: domain.JobID(fmt.Sprint("j", i)), Account: domain.AccountID(fmt.Sprint("a", i%23)), Submitted: s.Now,
 			Shape: domain.Shape{Tasks: size, PerTask: shape.PerTask, Adjacency: domain.Anywhere}}
-		s.Waiting = append(s.Waiting, scheduler.Waiting{Job: job, Class: class, Since: s.Now, Expected: time.Hour})
+		s.Waiting = append(s.Waiting, scheduler.WaitingJob{Job: job, Class: class, Since: s.Now, Expected: time.Hour})
 	}
 	return s
 }
@@ -48,7 +48,7 @@
 				s := planSnapshot(workers, waiting)
 				b.ReportAllocs()
 				for range b.N {
-					scheduler.Make(s, scheduler.DefaultPolicy())
+					scheduler.MakePlan(s, scheduler.DefaultPolicy())
 				}
 			})
 		}
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -72,7 +72,7 @@
 	down         map[domain.WorkerID]bool
 	binding      guarantee.Binding
 	reservations []scheduler.Reservation
-	book         *estimate.Book
+	book         *estimate.Estimator
 	result       Result
 	usedTime     float64 // accelerator seconds in use
 	freeTime     float64
@@ -86,7 +86,7 @@
 
 // Run simulates a trace under a policy.
 func Run(t Trace, p Policy) Result {
-	r := &run{trace: t, policy: p, down: map[domain.WorkerID]bool{}, book: estimate.NewBook(), largestShape: rackShape(4), capacity: 8 * len(t.Workers)}
+	r := &run{trace: t, policy: p, down: map[domain.WorkerID]bool{}, book: estimate.NewEstimator(), largestShape: rackShape(4), capacity: 8 * len(t.Workers)}
 	for _, a := range t.Arrivals {
 		j := &job{Arrival: a, submitted: a.At, started: -1, done: -1, remaining: a.Run}
 		j.Job.Submitted = epoch.Add(a.At)
@@ -133,7 +133,7 @@
 	}
 	used := 0
 	for _, j := range r.running {
-		cluster.Hold(j.gang.Placement, j.Job.Shape.PerTask)
+		cluster.Allocate(j.gang.Placement, j.Job.Shape.PerTask)
 		used += j.Job.Shape.Accelerators()
 	}
 	free, unusable := placement.Fragmentation(cluster, r.largestShape)
@@ -194,7 +194,7 @@
 		s.Gangs = append(s.Gangs, *j.gang)
 	}
 	for _, j := range r.waiting {
-		s.Waiting = append(s.Waiting, scheduler.Waiting{Job: j.Job, Class: j.Class, Since: epoch.Add(j.submitted), Expected: r.expectedRunTime(j)})
+		s.Waiting = append(s.Waiting, scheduler.WaitingJob{Job: j.Job, Class: j.Class, Since: epoch.Add(j.submitted), Expected: r.expectedRunTime(j)})
 	}
 	return s
 }
@@ -215,7 +215,7 @@
 
 func (r *run) plan() {
 	s := r.snapshot()
-	plan := scheduler.Make(s, r.policy.Policy)
+	plan := scheduler.MakePlan(s, r.policy.Policy)
 	r.binding = plan.Binding
 	r.reservations = plan.Reservations
 	byID := map[domain.JobID]*job{}
@@ -247,7 +247,7 @@
 	}
 	j.gang = &scheduler.Gang{
 		Job: j.Job, Class: j.Class, Placement: s.Placement, Guaranteed: s.Guaranteed,
-		Started: epoch.Add(r.now), Saved: epoch.Add(r.now),
+		Started: epoch.Add(r.now), LastCheckpoint: epoch.Add(r.now),
 	}
 	j.attempt++
 	r.queue.At(r.now+j.remaining, j.ifSameAttempt(func() { r.finish(j) }))
@@ -266,7 +266,7 @@
 
 func (r *run) finish(j *job) {
 	j.done = r.now
-	r.book.Learn(j.Job, r.now-j.attemptStarted)
+	r.book.Observe(j.Job, r.now-j.attemptStarted)
 	j.gang = nil
 	r.running = remove(r.running, j)
 }
--- a/cmd/cobalttide-entry/main.go
+++ b/cmd/cobalttide-entry/main.go
@@ -30,7 +30,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	settings.Without, err = decide.ParseWithout(*without)
+	settings.Disabled, err = decide.ParseDisabled(*without)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
--- a/configuration/fold.go
+++ b/configuration/fold.go
@@ -27,8 +27,8 @@
 	OperatorTokenHashes []string `json:"operator_token_hashes,omitempty"`
 }
 
-// Empty reports whether the change has no entries.
-func (c Change) Empty() bool {
+// IsEmpty reports whether the change has no entries.
+func (c Change) IsEmpty() bool {
 	return len(c.Accounts) == 0 && len(c.Classes) == 0 && len(c.OperatorTokenHashes) == 0
 }
 
--- a/configuration/fold_test.go
+++ b/configuration/fold_test.go
@@ -116,7 +116,7 @@
 		s.current = snapshot
 		return true
 	}
-	if !seeded.Catches(t, func(t *rapid.T) { checkStoreProperties(t, revert) }) {
+	if !seeded.FailsForAnySeed(t, func(t *rapid.T) { checkStoreProperties(t, revert) }) {
 		t.Fatal("the property does not detect that a version decreases")
 	}
 }
--- a/configuration/validate.go
+++ b/configuration/validate.go
@@ -78,11 +78,11 @@
 // ShapeProblems validates the shape of a guarantee or a job.
 func ShapeProblems(field string, s domain.Shape) Problems {
 	v := validator{}
-	inRange := s.Tasks >= 1 && s.Tasks <= domain.MaxGang
-	v.require(inRange, field+".tasks", fmt.Sprintf("%d is not within 1 to %d", s.Tasks, domain.MaxGang), "split the gang, or set at least one task")
-	v.require(!s.PerTask.Negative(), field+".per_task", "must not be negative", "set accelerators, cpu and memory_mib to 0 or more")
+	inRange := s.Tasks >= 1 && s.Tasks <= domain.MaxGangSize
+	v.require(inRange, field+".tasks", fmt.Sprintf("%d is not within 1 to %d", s.Tasks, domain.MaxGangSize), "split the gang, or set at least one task")
+	v.require(!s.PerTask.HasNegative(), field+".per_task", "must not be negative", "set accelerators, cpu and memory_mib to 0 or more")
 	v.require(!s.PerTask.IsZero(), field+".per_task", "requests no resources", "set at least one of accelerators, cpu and memory_mib")
-	v.require(s.Adjacency == "" || s.Adjacency.Valid(), field+".adjacency", fmt.Sprintf("%q is unknown", s.Adjacency),
+	v.require(s.Adjacency == "" || s.Adjacency.IsValid(), field+".adjacency", fmt.Sprintf("%q is unknown", s.Adjacency),
 		"use same-worker, same-rack, neighbouring-racks or anywhere")
 	return v.problems
 }
--- a/demo/cluster.go
+++ b/demo/cluster.go
@@ -23,7 +23,7 @@
 // cluster is a running deployment.
 type cluster struct {
 	dir      string
-	platform *standin.Running
+	platform *standin.Server
 	fleet    standin.Fleet
 	client   *http.Client
 
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -30,7 +30,7 @@
 		}},
 		{4 * time.Second, "an instance is killed", func(c *cluster) { c.kill(0) }},
 		{6 * time.Second, "two appends take effect without an answer", func(c *cluster) {
-			c.platform.Log.SetFaults(standin.LogFaults{LoseAnswers: 2})
+			c.platform.Log.SetFaults(standin.LogFaults{LoseResponses: 2})
 		}},
 		{7 * time.Second, "a backend server cuts answers short, another drops them", func(c *cluster) {
 			c.platform.Backends()[2].SetFaults(standin.BackendFaults{Truncate: true})
--- a/demo/load.go
+++ b/demo/load.go
@@ -206,7 +206,7 @@
 	if response.StatusCode != http.StatusOK {
 		return decodeRefusal(raw)
 	}
-	if want := standin.Answer(string(account), id, body); !strings.HasPrefix(string(raw), want) {
+	if want := standin.ExpectedAnswer(string(account), id, body); !strings.HasPrefix(string(raw), want) {
 		l.addViolation("request %s of account %s got the answer to another request", id, account)
 	}
 	return nil
@@ -296,7 +296,7 @@
 func (l *load) awaitJob(job acceptedJob, end time.Time) state.Status {
 	for {
 		status, err := l.c.jobStatus(job)
-		if err == nil && (status.State.Final() || time.Now().After(end)) {
+		if err == nil && (status.State.IsFinal() || time.Now().After(end)) {
 			return status
 		}
 		if time.Now().After(end) {
--- a/demo/report.go
+++ b/demo/report.go
@@ -93,7 +93,7 @@
 func (l *load) checkRuns() {
 	ran := map[string]int{}
 	for _, b := range l.c.platform.Backends() {
-		for id, n := range b.Ran() {
+		for id, n := range b.RunCounts() {
 			ran[id] += n
 		}
 	}
--- a/demo/watcher.go
+++ b/demo/watcher.go
@@ -77,7 +77,7 @@
 	for _, spec := range w.c.fleet.Workers("") {
 		for _, m := range w.c.platform.Worker(spec.ID).Members() {
 			addMember(gangs, m)
-			if m.State.Live() {
+			if m.State.HoldsResources() {
 				node := free[spec.DataCentre].Node(spec.ID)
 				node.Used = node.Used.Add(m.PerTask.Times(m.Tasks))
 			}
--- a/domain/job.go
+++ b/domain/job.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MaxGang is the largest number of tasks that one gang may have.
-const MaxGang = 128
+// MaxGangSize is the largest number of tasks that one gang may have.
+const MaxGangSize = 128
 
 // JobID identifies a job within its deployment. The caller chooses it, so that a
 // repeated submission is recognised.
@@ -20,8 +20,8 @@
 	Anywhere         Adjacency = "anywhere"
 )
 
-// Valid reports whether a is one of the defined adjacencies.
-func (a Adjacency) Valid() bool {
+// IsValid reports whether a is one of the defined adjacencies.
+func (a Adjacency) IsValid() bool {
 	switch a {
 	case SameWorker, SameRack, NeighbouringRack, Anywhere:
 		return true
@@ -31,7 +31,7 @@
 
 // Shape describes the resources that a gang needs or that a guarantee covers.
 type Shape struct {
-	// Tasks is the number of tasks of the gang, 1 to MaxGang.
+	// Tasks is the number of tasks of the gang, 1 to MaxGangSize.
 	Tasks int `json:"tasks"`
 	// PerTask are the resources that each task needs on its worker.
 	PerTask Resources `json:"per_task"`
@@ -61,8 +61,8 @@
 	JobUnknown JobState = "outcome-unknown"
 )
 
-// Final reports whether the state never changes again.
-func (s JobState) Final() bool {
+// IsFinal reports whether the state never changes again.
+func (s JobState) IsFinal() bool {
 	switch s {
 	case JobCompleted, JobFailed, JobCancelled, JobUnknown:
 		return true
--- a/domain/refusal.go
+++ b/domain/refusal.go
@@ -76,8 +76,8 @@
 	return &Refusal{Reason: reason, Outcome: NotRun, Field: field, Message: message, Remedy: remedy}
 }
 
-// After returns a copy of the refusal with RetryAfter set.
-func (r Refusal) After(d time.Duration) *Refusal {
+// WithRetryAfter returns a copy of the refusal with RetryAfter set.
+func (r Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = Duration(d)
 	return &r
 }
--- a/domain/resources.go
+++ b/domain/resources.go
@@ -25,8 +25,8 @@
 	return Resources{r.Accelerators * n, r.CPU * n, r.MemoryMiB * n}
 }
 
-// Fits reports whether r fits into o in every component.
-func (r Resources) Fits(o Resources) bool {
+// FitsIn reports whether r fits into o in every component.
+func (r Resources) FitsIn(o Resources) bool {
 	return r.Accelerators <= o.Accelerators && r.CPU <= o.CPU && r.MemoryMiB <= o.MemoryMiB
 }
 
@@ -53,5 +53,5 @@
 // IsZero reports whether all components are zero.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
-// Negative reports whether any component is negative.
-func (r Resources) Negative() bool { return r.Accelerators < 0 || r.CPU < 0 || r.MemoryMiB < 0 }
+// HasNegative reports whether any component is negative.
+func (r Resources) HasNegative() bool { return r.Accelerators < 0 || r.CPU < 0 || r.MemoryMiB < 0 }
--- a/events/log.go
+++ b/events/log.go
@@ -91,8 +91,8 @@
 // concerns every job. They are exempt from the rate limit, and dropped only when the
 // queue is full.
 var essential = map[Name]bool{
-	Started: true, Stopping: true, Stopped: true, JobRefused: true, JobCancelled: true, BookShed: true, ClaimTaken: true,
-	"job-completed": true, "job-failed": true, PlannerBegins: true, PlannerEnds: true, PlannerTempo: true,
+	Started: true, Stopping: true, Stopped: true, JobRefused: true, JobCancelled: true, DetailsDropped: true, ClaimTaken: true,
+	"job-completed": true, "job-failed": true, PlannerBegins: true, PlannerEnds: true, PlannerTimings: true,
 	Suspended: true, DependencyLost: true, DependencyRegained: true, ConfigurationInForce: true,
 }
 
--- a/events/names.go
+++ b/events/names.go
@@ -31,23 +31,23 @@
 	JobRepeated  Name = "job-repeated"
 	JobRefused   Name = "job-refused"
 	JobCancelled Name = "job-cancelled"
-	// JobShown: this instance reported for the first time to a caller that a job has
+	// JobEndReported: this instance reported for the first time to a caller that a job has
 	// ended.
-	JobShown Name = "job-shown"
+	JobEndReported Name = "job-shown"
 	// ClaimTaken, ClaimFailed, PlannerBegins and PlannerEnds: changes of the planner
 	// role.
 	ClaimTaken    Name = "claim-taken"
 	ClaimFailed   Name = "claim-failed"
 	PlannerBegins Name = "planner-begins"
 	PlannerEnds   Name = "planner-ends"
-	// BookShed: this instance has discarded its records of acceptances and progress.
-	BookShed Name = "book-shed"
+	// DetailsDropped: this instance has discarded its records of acceptances and progress.
+	DetailsDropped Name = "book-shed"
 	// StandbyBegins and StandbyEnds: this instance starts or stops following a planner's
 	// records in order to succeed it.
 	StandbyBegins Name = "standby-begins"
 	StandbyEnds   Name = "standby-ends"
-	// PlannerTempo: the durations of planning rounds and writes in the last second.
-	PlannerTempo Name = "planner-tempo"
+	// PlannerTimings: the durations of planning rounds and writes in the last second.
+	PlannerTimings Name = "planner-tempo"
 	// AppendRepeated: an append of the planner has not succeeded for some time and is
 	// repeated.
 	AppendRepeated Name = "append-repeated"
--- a/events/report/report.go
+++ b/events/report/report.go
@@ -190,7 +190,7 @@
 		j.outcome, j.completed = why, l.At
 		j.worked = time.Duration(parseNumber(detailField(stringField(l, "detail"), "worked_ms"))) * time.Millisecond
 		j.objective = time.Duration(parseNumber(detailField(stringField(l, "detail"), "objective_ms"))) * time.Millisecond
-	case events.JobShown:
+	case events.JobEndReported:
 		if j.notified.IsZero() {
 			j.notified = l.At
 		}
--- a/events/report/report_test.go
+++ b/events/report/report_test.go
@@ -39,7 +39,7 @@
 
 func makeReport(t *testing.T) *Report {
 	t.Helper()
-	lines, err := events.Lines([]io.Reader{strings.NewReader(sampleLog)})
+	lines, err := events.ReadLines([]io.Reader{strings.NewReader(sampleLog)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/events/story.go
+++ b/events/story.go
@@ -29,9 +29,9 @@
 // maxLineLength is the maximum length of a log line in bytes.
 const maxLineLength = 1 << 20
 
-// Lines reads the events in the logs of instances and returns them ordered by time.
+// ReadLines reads the events in the logs of instances and returns them ordered by time.
 // Each line may have text before its JSON; lines that are not events are skipped.
-func Lines(logs []io.Reader) ([]Line, error) {
+func ReadLines(logs []io.Reader) ([]Line, error) {
 	var out []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
@@ -49,10 +49,10 @@
 	return out, nil
 }
 
-// Story returns the history of one job, ordered by time: its own events and, if all
+// JobHistory returns the history of one job, ordered by time: its own events and, if all
 // is set, the events between its first and last that concern every job.
-func Story(logs []io.Reader, job string, all bool) ([]Line, error) {
-	lines, err := Lines(logs)
+func JobHistory(logs []io.Reader, job string, all bool) ([]Line, error) {
+	lines, err := ReadLines(logs)
 	if err != nil {
 		return nil, err
 	}
@@ -96,8 +96,8 @@
 	return line, true
 }
 
-// Format writes the lines of a story, each with the time since the first.
-func Format(out io.Writer, story []Line) error {
+// WriteLines writes the lines of a story, each with the time since the first.
+func WriteLines(out io.Writer, story []Line) error {
 	for _, l := range story {
 		names := make([]string, 0, len(l.Fields))
 		for name := range l.Fields {
--- a/events/story_test.go
+++ b/events/story_test.go
@@ -17,12 +17,12 @@
 `
 
 func TestAStoryJoinsTheLogsOfInstancesInOrder(t *testing.T) {
-	story, err := Story([]io.Reader{strings.NewReader(secondLog), strings.NewReader(firstLog)}, "a", true)
+	story, err := JobHistory([]io.Reader{strings.NewReader(secondLog), strings.NewReader(firstLog)}, "a", true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := &strings.Builder{}
-	if err := Format(out, story); err != nil {
+	if err := WriteLines(out, story); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"+0.000s edge-1", "took_ms=6", "+1.000s edge-1", "planner-begins", "+3.250s edge-2", "job-completed"}
--- a/instance/deployment_test.go
+++ b/instance/deployment_test.go
@@ -39,7 +39,7 @@
 // deployment is a small deployment over TCP: a stand-in platform and instances.
 type deployment struct {
 	t         *testing.T
-	platform  *standin.Running
+	platform  *standin.Server
 	instances []*runningInstance
 }
 
@@ -128,7 +128,7 @@
 	}
 	for _, in := range s.instances {
 		eventually(s.t, "the configuration is in force", func() bool { return in.ConfigurationVersion() == 1 && in.Ready() })
-		eventually(s.t, "the instances have discovered each other", func() bool { return in.Peers() == len(s.instances) })
+		eventually(s.t, "the instances have discovered each other", func() bool { return in.LiveInstances() == len(s.instances) })
 	}
 }
 
@@ -181,7 +181,7 @@
 	var status state.Status
 	eventually(t, "job "+id+" ends", func() bool {
 		_, raw, _ := r.call(t, http.MethodGet, "/v1/jobs/"+id+"?wait=1s", token, "", "")
-		return json.Unmarshal([]byte(raw), &status) == nil && status.State.Final()
+		return json.Unmarshal([]byte(raw), &status) == nil && status.State.IsFinal()
 	})
 	return status
 }
--- a/instance/http.go
+++ b/instance/http.go
@@ -254,7 +254,7 @@
 			"use a declared class, or have an operator declare it")
 	}
 	id := r.Header.Get(headerRequestID)
-	if !admission.ValidID(id) {
+	if !admission.IsValidID(id) {
 		return nil, domain.Refuse(domain.ReasonInvalid, headerRequestID, "is missing or has characters other than letters, digits, '.', '_' and '-'",
 			"choose an id of 1 to 128 such characters; repeat a request with the same id")
 	}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -64,8 +64,8 @@
 
 	routingTable *routing.Table
 	gate         *limit.Gate
-	rates        *limit.Rates
-	keeper       *attempt.Keeper
+	rates        *limit.Limiters
+	keeper       *attempt.Coordinator
 	requests     endpoint.Endpoint
 	planner      *planner.Runner
 
@@ -107,7 +107,7 @@
 		configuration: configuration.NewStore(), jobs: state.NewJobs(), ledger: attempt.NewLedger(),
 		followers:    map[port.Stream]*state.Follower{},
 		routingTable: routing.NewTable(s.DataCentre, routing.DefaultOptions()),
-		rates:        limit.NewRates(), orders: orderStore{drained: map[domain.WorkerID]bool{}},
+		rates:        limit.NewLimiters(), orders: orderStore{drained: map[domain.WorkerID]bool{}},
 		platform: options.Platform,
 	}
 	in.log = newLogger(options.Log, s).WithFields(logrus.Fields{"instance": in.ID, "data_centre": s.DataCentre})
@@ -221,15 +221,15 @@
 }
 
 func (in *Instance) wireRequests() {
-	in.keeper = &attempt.Keeper{Instance: in.ID, Journal: in.journal, Ledger: in.ledger, Options: attempt.DefaultOptions()}
-	in.gate = limit.NewGate(limit.DefaultGateOptions().Most, limit.DefaultGateOptions())
+	in.keeper = &attempt.Coordinator{Instance: in.ID, Journal: in.journal, Ledger: in.ledger, Options: attempt.DefaultOptions()}
+	in.gate = limit.NewGate(limit.DefaultGateOptions().MaxLimit, limit.DefaultGateOptions())
 	router := &dispatch.Router{
 		Table: in.routingTable, Budget: retry.NewBudget(retryShare, retryReserve),
 		Transport: backendTransport(), Options: dispatch.DefaultRouteOptions(),
 		OnRetry: func(reason domain.Reason) { in.Metrics.retries.WithLabelValues(string(reason)).Inc() },
 	}
 	in.requests = dispatch.Chain(router.Endpoint(),
-		dispatch.Rate(in.rates), dispatch.Deduplicate(in.keeper), dispatch.Admit(in.gate))
+		dispatch.LimitRate(in.rates), dispatch.Deduplicate(in.keeper), dispatch.Admit(in.gate))
 }
 
 // Limits of the connections to one backend server.
@@ -257,9 +257,9 @@
 }
 
 func (in *Instance) addFollower(stream port.Stream, from func() int64, apply func(port.Entry), onTruncated func(context.Context, int64) error) {
-	in.followers[stream] = &state.Follower{Log: in.platform, Stream: stream, From: from, OnTruncated: onTruncated, Apply: func(e port.Entry) {
+	in.followers[stream] = &state.Follower{Log: in.platform, Stream: stream, NextOffset: from, OnTruncated: onTruncated, Apply: func(e port.Entry) {
 		apply(e)
-		in.journal.Seen(stream, e)
+		in.journal.ConfirmRead(stream, e)
 	}}
 }
 
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -26,7 +26,7 @@
 		for _, class := range []string{"quote", "check"} {
 			id := class + "-at-" + string(in.Settings.Instance)
 			_, got, refusal := in.call(t, http.MethodPost, "/v1/requests/"+class, "shop", id, body)
-			want := standin.Answer("shop", id, []byte(body))
+			want := standin.ExpectedAnswer("shop", id, []byte(body))
 			if !strings.HasPrefix(got, want) || len(got) != len(want)+5000 {
 				t.Errorf("%s: %d bytes %+v", id, len(got), refusal)
 			}
@@ -66,7 +66,7 @@
 	}
 	total := 0
 	for _, backend := range s.platform.Backends() {
-		total += backend.Ran()["shop/c1"]
+		total += backend.RunCounts()["shop/c1"]
 	}
 	if total != 1 {
 		t.Errorf("the request ran %d times, want 1", total)
@@ -142,7 +142,7 @@
 // server, the caller gets the complete answer to its own request or none.
 func TestAnswersAreWholeOrNone(t *testing.T) {
 	faults := map[string]standin.BackendFaults{
-		"truncated": {Truncate: true}, "swapped": {Swap: true}, "dropped": {DropAfter: true}, "failed": {FailFast: true},
+		"truncated": {Truncate: true}, "swapped": {SwapID: true}, "dropped": {DropAfter: true}, "failed": {FailFast: true},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -181,7 +181,7 @@
 	if err != nil || response.StatusCode != http.StatusOK {
 		return
 	}
-	want := standin.Answer("shop", id, []byte(body))
+	want := standin.ExpectedAnswer("shop", id, []byte(body))
 	if !bytes.HasPrefix(raw, []byte(want)) || len(raw) != len(want)+100*i {
 		t.Errorf("request %s got %d bytes that are not its complete answer", id, len(raw))
 	}
@@ -199,7 +199,7 @@
 			id := fmt.Sprint("q", i)
 			body := fmt.Sprintf(`{"take": "400ms", "size": 200000, "stream": %v}`, i%2 == 0)
 			_, raw, _ := in.call(t, http.MethodPost, "/v1/requests/quote", "shop", id, body)
-			if strings.HasPrefix(raw, standin.Answer("shop", id, []byte(body))) && len(raw) > 200_000 {
+			if strings.HasPrefix(raw, standin.ExpectedAnswer("shop", id, []byte(body))) && len(raw) > 200_000 {
 				answers <- id
 			}
 		})
@@ -207,7 +207,7 @@
 	eventually(t, "the backend servers process at least half of the requests", func() bool {
 		began := 0
 		for _, backend := range s.platform.Backends() {
-			began += len(backend.Ran())
+			began += len(backend.RunCounts())
 		}
 		return began >= n/2
 	})
@@ -232,13 +232,13 @@
 		}
 	}
 	send(0, 40)
-	if len(leaving.Ran()) == 0 {
+	if len(leaving.RunCounts()) == 0 {
 		t.Fatal("the backend server got no requests before it was leaving, so the test proves nothing")
 	}
 	leaving.SetFaults(standin.BackendFaults{Leaving: true})
-	before := len(leaving.Ran())
+	before := len(leaving.RunCounts())
 	send(40, 120)
-	if after := len(leaving.Ran()); after != before {
+	if after := len(leaving.RunCounts()); after != before {
 		t.Errorf("the leaving backend server got %d more requests", after-before)
 	}
 }
--- a/instance/jobs.go
+++ b/instance/jobs.go
@@ -111,7 +111,7 @@
 		Workers: in.platform, Publisher: in, Jobs: in.jobs,
 		Configuration: in.configuration.Current, Fleet: in.fleet,
 		Draining: in.orders.drainedWorkers, Evacuated: in.orders.isEvacuated, LogDown: in.logUnreachable,
-		Mine: in.isPlanner, OnChange: in.setPlanning,
+		HoldsRole: in.isPlanner, OnRoleChange: in.setPlanning,
 	}
 	in.planner.Init()
 }
@@ -137,7 +137,7 @@
 	if len(live) == 0 {
 		return domain.Refuse(domain.ReasonWrongDataCentre, "data_centre",
 			fmt.Sprintf("no live instance of data centre %q is known in %q", dc, in.Settings.DataCentre),
-			"check the name; retry later, or use an instance of that data centre").After(time.Second)
+			"check the name; retry later, or use an instance of that data centre").WithRetryAfter(time.Second)
 	}
 	for _, m := range live {
 		err := in.callPeer(ctx, m.Address, method, params, result)
@@ -149,7 +149,7 @@
 		}
 	}
 	return domain.OutcomeUnknown(domain.ReasonWrongDataCentre,
-		fmt.Sprintf("no instance of data centre %q answers calls from %q", dc, in.Settings.DataCentre)).After(time.Second)
+		fmt.Sprintf("no instance of data centre %q answers calls from %q", dc, in.Settings.DataCentre)).WithRetryAfter(time.Second)
 }
 
 func (in *Instance) submitLocal(ctx context.Context, job domain.Job) (Accepted, error) {
@@ -180,7 +180,7 @@
 
 func notConfigured() *domain.Refusal {
 	return domain.Refuse(domain.ReasonNotReady, "", "the instance has no configuration yet",
-		"apply declarations with cobaltctl apply, or retry after the given time").After(time.Second)
+		"apply declarations with cobaltctl apply, or retry after the given time").WithRetryAfter(time.Second)
 }
 
 func repeatedSubmission(known state.Status, digest string) (Accepted, error) {
@@ -224,7 +224,7 @@
 // jobsNotLoaded returns the refusal for an unknown job that may exist.
 func jobsNotLoaded() *domain.Refusal {
 	return domain.Refuse(domain.ReasonNotReady, "", "the instance has not read all jobs yet, so the job may exist",
-		"retry, or use another instance").After(time.Second)
+		"retry, or use another instance").WithRetryAfter(time.Second)
 }
 
 func (in *Instance) localJob(q jobQuery) (state.Status, error) {
@@ -255,7 +255,7 @@
 	for {
 		changed := in.jobs.Watch(id)
 		status, err := in.Job(ctx, account, id, dc)
-		if err != nil || status.State.Final() {
+		if err != nil || status.State.IsFinal() {
 			return status, err
 		}
 		remote := dc != "" && dc != in.Settings.DataCentre
@@ -287,7 +287,7 @@
 	if err != nil {
 		return Accepted{}, err
 	}
-	if status.State.Final() || status.CancelRequested {
+	if status.State.IsFinal() || status.CancelRequested {
 		return Accepted{ID: q.ID, Durability: InLog, Repeat: true}, nil
 	}
 	record, err := state.NewRecord("cancel/"+string(q.ID), state.KindCancel, state.Cancel{Job: q.ID})
--- a/instance/members.go
+++ b/instance/members.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return // the last inventory stays in use
 	}
-	inventory := old.Update(answer)
+	inventory := old.Merge(answer)
 	in.inventory.Store(&inventory)
 	if inventory.Versions.Backends != old.Versions.Backends {
 		in.routingTable.Update(inventory.Backends)
@@ -230,8 +230,8 @@
 	in.log.WithFields(logrus.Fields{"planning": planning}).Info("planner's role changed")
 }
 
-// Peers returns the number of live instances that are known, this one included.
-func (in *Instance) Peers() int {
+// LiveInstances returns the number of live instances that are known, this one included.
+func (in *Instance) LiveInstances() int {
 	n := 0
 	for _, m := range in.members.all() {
 		if m.State == membership.Alive || m.State == membership.Suspect {
--- a/instance/operator.go
+++ b/instance/operator.go
@@ -247,7 +247,7 @@
 		return 0, versionConflict(current.Version)
 	}
 	change := configuration.Diff(current.Declarations, declared)
-	if change.Empty() {
+	if change.IsEmpty() {
 		return current.Version, nil
 	}
 	change.ID, change.Base, change.Operator = id, base, operator
@@ -290,7 +290,7 @@
 func changeOutcomeUnknown(cause error) *domain.Refusal {
 	refusal := domain.OutcomeUnknown(domain.ReasonOutcomeUnknown, fmt.Sprintf("timed out waiting for the log to confirm the change (append error: %v)", cause))
 	refusal.Remedy = "repeat the call with the same change_id: the change is applied at most once"
-	return refusal.After(time.Second)
+	return refusal.WithRetryAfter(time.Second)
 }
 
 // History implements OperatorServiceHandler.
--- a/instance/records.go
+++ b/instance/records.go
@@ -210,7 +210,7 @@
 			continue
 		}
 		for _, r := range in.held.takeOverdue(time.Now()) {
-			done, err := in.journal.Keep(r.stream, r.record)
+			done, err := in.journal.AppendWithRetry(r.stream, r.record)
 			if err != nil {
 				return // the journal is closed: the instance is stopping
 			}
@@ -243,7 +243,7 @@
 	}
 	copies, uncertain := in.replicate(ctx, stream, record)
 	if copies >= minCopies {
-		if _, keepErr := in.journal.Keep(stream, record); keepErr == nil {
+		if _, keepErr := in.journal.AppendWithRetry(stream, record); keepErr == nil {
 			in.foldHeld(stream, record)
 			return InMemory, nil
 		}
@@ -251,22 +251,22 @@
 	in.held.remove(record.ID)
 	if errors.Is(err, state.ErrNotSent) && copies <= 1 && !uncertain {
 		return "", domain.Refuse(domain.ReasonLogUnavailable, "", "the log is unreachable and no other instance could store a copy",
-			"repeat the call with the same id").After(logTimeout)
+			"repeat the call with the same id").WithRetryAfter(logTimeout)
 	}
 	refusal := domain.OutcomeUnknown(domain.ReasonLogUnavailable, "the log did not confirm whether it has the record")
 	refusal.Remedy = "repeat the call with the same id: it takes effect at most once"
-	return "", refusal.After(logTimeout)
+	return "", refusal.WithRetryAfter(logTimeout)
 }
 
-// Keep implements planner.Publisher.
-func (in *Instance) Keep(e planner.Emission) {
+// AppendWithRetry implements planner.Publisher.
+func (in *Instance) AppendWithRetry(e planner.Emission) {
 	record, err := state.NewRecord(e.ID, e.Kind, e.Payload)
 	if err != nil {
 		in.log.WithError(err).Error("cannot encode a record of the planner")
 		return
 	}
 	stream := state.JobStream(in.Settings.DataCentre)
-	done, err := in.journal.Keep(stream, record)
+	done, err := in.journal.AppendWithRetry(stream, record)
 	if err != nil {
 		return // the instance is stopping; the next planner asks the workers
 	}
@@ -284,8 +284,8 @@
 	}()
 }
 
-// Record implements planner.Publisher.
-func (in *Instance) Record(ctx context.Context, e planner.Emission) bool {
+// AppendAndConfirm implements planner.Publisher.
+func (in *Instance) AppendAndConfirm(ctx context.Context, e planner.Emission) bool {
 	record, err := state.NewRecord(e.ID, e.Kind, e.Payload)
 	if err != nil {
 		return false
--- a/internal/command/callers.go
+++ b/internal/command/callers.go
@@ -160,7 +160,7 @@
 		if err != nil {
 			return err
 		}
-		if !s.State.Final() {
+		if !s.State.IsFinal() {
 			fmt.Fprintf(env.Err, "%s is %s\n", s.Job.ID, s.State)
 			continue
 		}
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -16,7 +16,7 @@
 	f := newFlags(env, "experiment")
 	pattern := f.String("pattern", "burst-urgent", "a file, or one of "+strings.Join(replay.Names(), ", "))
 	a := f.String("a", replay.Easy, "the first policy: shipping, before, easy, fifo, or without=MECHANISM,...")
-	b := f.String("b", replay.Shipping, "the second policy")
+	b := f.String("b", replay.Default, "the second policy")
 	first := f.Uint64("seed", 1, "the first seed")
 	seeds := f.Int("seeds", 20, "number of seeds")
 	plots := f.String("plots", "", "directory for plots of queue, free capacity and starts over time")
@@ -49,7 +49,7 @@
 		}
 	}
 	if *plots != "" {
-		if err := e.Plots(*plots); err != nil {
+		if err := e.WritePlots(*plots); err != nil {
 			return errors.Wrap(err, "the plots can't be written; name a writable directory")
 		}
 	}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := replay.Record(lines)
+	p, err := replay.PatternFromLogs(lines)
 	if err != nil {
 		return err
 	}
--- a/internal/command/report.go
+++ b/internal/command/report.go
@@ -40,5 +40,5 @@
 		return nil, err
 	}
 	defer closeAll()
-	return events.Lines(logs)
+	return events.ReadLines(logs)
 }
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -25,14 +25,14 @@
 		return err
 	}
 	defer closeAll()
-	jobEvents, err := events.Story(logs, f.Arg(0), *all)
+	jobEvents, err := events.JobHistory(logs, f.Arg(0), *all)
 	if err != nil {
 		return err
 	}
 	if len(jobEvents) == 0 {
 		return errors.Newf("no line names job %s; check the id, and that the logs of all instances are included", f.Arg(0))
 	}
-	return events.Format(env.Out, jobEvents)
+	return events.WriteLines(env.Out, jobEvents)
 }
 
 func openLogs(names []string) ([]io.Reader, func(), error) {
--- a/internal/seeded/expect.go
+++ b/internal/seeded/expect.go
@@ -30,13 +30,13 @@
 	runtime.Goexit()
 }
 
-// seedCount is the number of seeds that Catches tries.
+// seedCount is the number of seeds that FailsForAnySeed tries.
 const seedCount = 40
 
-// Catches reports whether a property fails under any of a fixed set of seeds. It is
+// FailsForAnySeed reports whether a property fails under any of a fixed set of seeds. It is
 // used to test a property test: the property must fail for a broken variant of the
 // code, or it proves nothing.
-func Catches(t testing.TB, property func(*rapid.T)) bool {
+func FailsForAnySeed(t testing.TB, property func(*rapid.T)) bool {
 	t.Helper()
 	// The failure is not printed here, so there is no need to shrink it.
 	defer setFlag(t, "rapid.shrinktime", "0s")()
--- a/planner/answers.go
+++ b/planner/answers.go
@@ -22,9 +22,9 @@
 		c.handleUnanswered(call)
 		return
 	}
-	if c.Token.Less(report.Seen) {
+	if c.Token.Less(report.HighestToken) {
 		c.deposed = true
-		c.deposedBy = higherToken(c.deposedBy, report.Seen)
+		c.deposedBy = higherToken(c.deposedBy, report.HighestToken)
 		return
 	}
 	c.recordAnswer(w, call, report, sent, received)
--- a/planner/core.go
+++ b/planner/core.go
@@ -168,7 +168,7 @@
 	binding      guarantee.Binding
 	reservations []scheduler.Reservation
 	held         map[domain.JobID]scheduler.Held
-	estimates    *estimate.Book
+	estimates    *estimate.Estimator
 	quarantine   *quarantine.Tracker
 	lastPlan     time.Time
 	lastVersion  uint64
@@ -210,7 +210,7 @@
 		closing:     map[domain.Incarnation]*closingGang{},
 		localStates: map[domain.JobID]*localState{},
 		held:        map[domain.JobID]scheduler.Held{},
-		estimates:   estimate.NewBook(),
+		estimates:   estimate.NewEstimator(),
 		quarantine:  quarantine.NewTracker(options.Quarantine),
 	}
 }
@@ -311,7 +311,7 @@
 
 func (c *Core) renew(w *workerState, gangs []*gang.Machine) {
 	until := w.reading.LeaseEnd(c.options.Timing.Lease)
-	command := port.Command{Verb: port.VerbRenew, Boot: w.reading.Boot, Until: domain.Duration(until)}
+	command := port.Command{Verb: port.VerbRenew, Boot: w.reading.Boot, ValidUntil: domain.Duration(until)}
 	for _, m := range gangs {
 		command.Gangs = append(command.Gangs, m.Incarnation)
 		m.RenewalSent(w.spec.ID, w.reading, until)
--- a/planner/estimate/estimate.go
+++ b/planner/estimate/estimate.go
@@ -24,16 +24,16 @@
 	class   domain.ClassName
 }
 
-// Book holds the corrections of one planner. It is not safe for concurrent use.
-type Book struct {
+// Estimator holds the corrections of one planner. It is not safe for concurrent use.
+type Estimator struct {
 	logRatio map[correctionKey]float64
 }
 
-// NewBook returns a Book without corrections.
-func NewBook() *Book { return &Book{logRatio: map[correctionKey]float64{}} }
+// NewEstimator returns an Estimator without corrections.
+func NewEstimator() *Estimator { return &Estimator{logRatio: map[correctionKey]float64{}} }
 
-// Learn updates the correction with the actual run time of a finished gang.
-func (b *Book) Learn(job domain.Job, actual time.Duration) {
+// Observe updates the correction with the actual run time of a finished gang.
+func (b *Estimator) Observe(job domain.Job, actual time.Duration) {
 	if job.Estimate <= 0 || actual <= 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // Expect returns the corrected run time of a job.
-func (b *Book) Expect(job domain.Job) time.Duration {
+func (b *Estimator) Expect(job domain.Job) time.Duration {
 	factor := math.Exp(b.logRatio[correctionKey{job.Account, job.Class}])
 	return time.Duration(float64(job.Estimate.Std()) * factor)
 }
@@ -52,7 +52,7 @@
 // Remaining returns how much longer a gang is expected to run. A gang that has exceeded
 // its estimate is expected to run for half its elapsed time more, so that the result grows
 // with the overrun and never becomes zero.
-func (b *Book) Remaining(job domain.Job, elapsed time.Duration) time.Duration {
+func (b *Estimator) Remaining(job domain.Job, elapsed time.Duration) time.Duration {
 	expected := b.Expect(job)
 	if elapsed < expected {
 		return expected - elapsed
--- a/planner/gang/machine.go
+++ b/planner/gang/machine.go
@@ -189,7 +189,7 @@
 		}
 		mem.releaseExpiredAt = laterTime(mem.releaseExpiredAt, reading.ExpiredAt(until, m.timing))
 	}
-	command.Until = domain.Duration(until)
+	command.ValidUntil = domain.Duration(until)
 	return Request{Worker: mem.worker, Command: command}, true
 }
 
@@ -206,7 +206,7 @@
 		switch {
 		case mem.state == port.TaskFinished:
 		case mem.state == port.TaskAbsent && m.phase == Reserving:
-		case !mem.state.Live() || now.After(mem.validUntil):
+		case !mem.state.HoldsResources() || now.After(mem.validUntil):
 			return false
 		case now.Add(m.timing.Lease / 2).After(mem.validUntil):
 			allAnswered = false
--- a/planner/gang/machine_test.go
+++ b/planner/gang/machine_test.go
@@ -32,7 +32,7 @@
 	before := m.leasesValidUntil()
 
 	later := Reading{Boot: "b", Clock: 2 * time.Minute, Sent: now.Add(time.Minute), Received: now.Add(time.Minute)}
-	renew := port.Command{Verb: port.VerbRenew, Gangs: []domain.Incarnation{gang}, Until: domain.Duration(later.LeaseEnd(timing.Lease))}
+	renew := port.Command{Verb: port.VerbRenew, Gangs: []domain.Incarnation{gang}, ValidUntil: domain.Duration(later.LeaseEnd(timing.Lease))}
 	m.Observe("w", renew, port.Report{Boot: "b"}, later)
 	if got := m.leasesValidUntil(); !got.Equal(before) {
 		t.Errorf("the lease counts as valid for %v longer than it is", got.Sub(before))
--- a/planner/gang/observe.go
+++ b/planner/gang/observe.go
@@ -41,7 +41,7 @@
 	// A renewal that overtook the reserve found no lease to extend. Only a report that
 	// contains the member shows that its lease was extended.
 	if extendsLease(command, m.Incarnation) && m.isLiveIn(report) {
-		mem.validUntil = laterTime(mem.validUntil, granted.ValidUntil(command.Until.Std(), m.timing))
+		mem.validUntil = laterTime(mem.validUntil, granted.ValidUntil(command.ValidUntil.Std(), m.timing))
 	}
 	if own && command.Verb == port.VerbCheckpoint {
 		mem.checkpointed = true
@@ -66,7 +66,7 @@
 func (m *Machine) isLiveIn(report port.Report) bool {
 	for _, reported := range report.Members {
 		if reported.Gang == m.Incarnation {
-			return reported.State.Live()
+			return reported.State.HoldsResources()
 		}
 	}
 	return false
--- a/planner/gang/phases.go
+++ b/planner/gang/phases.go
@@ -50,7 +50,7 @@
 	case Stopping:
 		// A reserve may have taken effect although its answer was lost.
 		unconfirmed := mem.state == port.TaskAbsent && mem.boot != "" && !mem.expiredAt.IsZero()
-		return !mem.state.Live() && !unconfirmed
+		return !mem.state.HoldsResources() && !unconfirmed
 	}
 	return true
 }
@@ -136,7 +136,7 @@
 
 func (m *Machine) updateStopped(now time.Time) {
 	ended := m.allMembers(func(mem *member) bool {
-		return !mem.state.Live() && !(mem.state == port.TaskAbsent && now.Before(mem.expiredAt)) || now.After(mem.expiredAt)
+		return !mem.state.HoldsResources() && !(mem.state == port.TaskAbsent && now.Before(mem.expiredAt)) || now.After(mem.expiredAt)
 	})
 	if ended {
 		m.phase = Ended
--- a/planner/gangs.go
+++ b/planner/gangs.go
@@ -42,7 +42,7 @@
 		if !active && !in.HasEnded(id.Job) {
 			continue
 		}
-		c.takeOverGang(id, status, in, active && newest[id.Job] == id && !status.Gang.Newer(id))
+		c.takeOverGang(id, status, in, active && newest[id.Job] == id && !status.Incarnation.Newer(id))
 		delete(c.foundMembers, id)
 	}
 }
@@ -150,7 +150,7 @@
 // emitStarted records the attempt. A gang of a class that must not run twice waits for the
 // record; the others continue at once, and the record follows.
 func (c *Core) emitStarted(m *gang.Machine, now time.Time) {
-	started := state.Started{Gang: m.Incarnation, Placement: m.Placement, Guaranteed: m.Guaranteed, At: now}
+	started := state.Started{Incarnation: m.Incarnation, Placement: m.Placement, Guaranteed: m.Guaranteed, At: now}
 	emission := Emission{ID: recordID("started", m.Incarnation), Kind: state.KindStarted, Payload: started}
 	if m.Class.Idempotent {
 		c.out.Emissions = append(c.out.Emissions, emission)
@@ -191,7 +191,7 @@
 	}
 	c.localOf(id).notBefore = in.Now.Add(c.pauseAfter(m.Cause()))
 	c.emit(recordID("requeued", m.Incarnation), state.KindRequeued,
-		state.Requeued{Gang: m.Incarnation, Cause: string(m.Cause()), FailedOn: m.FailedOn(), Crashed: m.Cause() == gang.CauseWorkerCrashed})
+		state.Requeued{Incarnation: m.Incarnation, Cause: string(m.Cause()), FailedOn: m.FailedOn(), Crashed: m.Cause() == gang.CauseWorkerCrashed})
 }
 
 // startRetryPause is the pause before a gang that could not start is tried again.
@@ -241,7 +241,7 @@
 func (c *Core) recordOutcome(m *gang.Machine, now time.Time) {
 	switch m.Cause() {
 	case gang.CauseFinished:
-		c.estimates.Learn(m.Job, now.Sub(m.Released))
+		c.estimates.Observe(m.Job, now.Sub(m.Released))
 		for _, worker := range m.Workers() {
 			c.quarantine.RecordSuccess(worker)
 		}
@@ -301,7 +301,7 @@
 	closing.pending[worker] = true
 	c.call(w, port.Command{
 		Verb: port.VerbForget, Gang: id, Boot: w.reading.Boot,
-		Until: domain.Duration(w.reading.LeaseEnd(c.options.Timing.Lease)),
+		ValidUntil: domain.Duration(w.reading.LeaseEnd(c.options.Timing.Lease)),
 	})
 }
 
@@ -337,16 +337,16 @@
 		if local.ended || c.machines[id] != nil || c.hasOrphan(id) {
 			continue
 		}
-		lost := status.State == domain.JobRunning && status.Gang.Newer(local.lastConcluded)
+		lost := status.State == domain.JobRunning && status.Incarnation.Newer(local.lastConcluded)
 		idempotent := in.Classes[status.Job.Class].Idempotent
 		switch {
-		case !idempotent && (lost || status.Contended):
+		case !idempotent && (lost || status.MayOverlap):
 			c.end(id, domain.JobUnknown, string(gang.CauseMemberLost), "", in.Now)
 		case lost:
-			local.lastConcluded = status.Gang
-			local.attempt = max(local.attempt, status.Gang.Attempt)
-			c.emit(recordID("requeued", status.Gang), state.KindRequeued,
-				state.Requeued{Gang: status.Gang, Cause: string(gang.CauseMemberLost)})
+			local.lastConcluded = status.Incarnation
+			local.attempt = max(local.attempt, status.Incarnation.Attempt)
+			c.emit(recordID("requeued", status.Incarnation), state.KindRequeued,
+				state.Requeued{Incarnation: status.Incarnation, Cause: string(gang.CauseMemberLost)})
 		}
 	}
 }
--- a/planner/interleave_test.go
+++ b/planner/interleave_test.go
@@ -59,7 +59,7 @@
 
 func (s *plannerSim) hasEnded(id domain.JobID) bool {
 	status, ok := s.jobs.Get(id)
-	return ok && status.State.Final()
+	return ok && status.State.IsFinal()
 }
 
 // message is a call on its way to a worker, or its answer on its way back.
--- a/planner/mutants_test.go
+++ b/planner/mutants_test.go
@@ -34,7 +34,7 @@
 	}
 	for name, mutate := range mutants {
 		t.Run(name, func(t *testing.T) {
-			if !seeded.Catches(t, func(t *rapid.T) { runInterleavings(t, mutate) }) {
+			if !seeded.FailsForAnySeed(t, func(t *rapid.T) { runInterleavings(t, mutate) }) {
 				t.Fatal("the property does not detect this mutant")
 			}
 		})
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -23,7 +23,7 @@
 	c.lastVersion = in.InputVersion
 	c.lastPlan = in.Now
 	snapshot := c.snapshot(in)
-	c.apply(scheduler.Make(snapshot, c.options.Policy), snapshot, in)
+	c.apply(scheduler.MakePlan(snapshot, c.options.Policy), snapshot, in)
 }
 
 // snapshot returns the input of the scheduler.
@@ -41,7 +41,7 @@
 	}
 	for _, status := range in.Jobs {
 		if c.isWaiting(status, in) {
-			s.Waiting = append(s.Waiting, scheduler.Waiting{
+			s.Waiting = append(s.Waiting, scheduler.WaitingJob{
 				Job: status.Job, Class: in.Classes[status.Job.Class], Since: status.Job.Submitted,
 				Expected: c.estimates.Expect(status.Job), Avoid: status.FailedOn,
 			})
@@ -67,7 +67,7 @@
 	return scheduler.Gang{
 		Job: m.Job, Class: m.Class, Placement: m.Placement, Guaranteed: m.Guaranteed,
 		Stopping: m.Phase() == gang.Checkpointing || m.Phase() == gang.Stopping,
-		Started:  m.Created, Saved: m.LastCheckpoint,
+		Started:  m.Created, LastCheckpoint: m.LastCheckpoint,
 		Remaining: c.estimates.Remaining(m.Job, now.Sub(m.Created)),
 	}
 }
@@ -109,13 +109,13 @@
 }
 
 func (c *Core) start(starts []scheduler.Start, snapshot scheduler.Snapshot, in Inputs) {
-	waiting := make(map[domain.JobID]*scheduler.Waiting, len(snapshot.Waiting))
+	waiting := make(map[domain.JobID]*scheduler.WaitingJob, len(snapshot.Waiting))
 	for i := range snapshot.Waiting {
 		waiting[snapshot.Waiting[i].Job.ID] = &snapshot.Waiting[i]
 	}
 	attempts := make(map[domain.JobID]uint64, len(in.Jobs))
 	for _, status := range in.Jobs {
-		attempts[status.Job.ID] = status.Gang.Attempt
+		attempts[status.Job.ID] = status.Incarnation.Attempt
 	}
 	for _, s := range starts {
 		w := waiting[s.Job]
--- a/planner/runner.go
+++ b/planner/runner.go
@@ -13,11 +13,11 @@
 
 // Publisher appends the planner's records to the log.
 type Publisher interface {
-	// Keep appends a record to the log, now or as soon as the log is available again.
-	Keep(e Emission)
-	// Record appends a record to the log now, and reports whether the order of the log
+	// AppendWithRetry appends a record to the log, now or as soon as the log is available again.
+	AppendWithRetry(e Emission)
+	// AppendAndConfirm appends a record to the log now, and reports whether the order of the log
 	// allows the attempt to run.
-	Record(ctx context.Context, e Emission) bool
+	AppendAndConfirm(ctx context.Context, e Emission) bool
 }
 
 // Runner runs a Core while its instance holds the planner role.
@@ -35,10 +35,10 @@
 	LogDown       func() bool
 	// Evacuated reports whether operators want nothing new in the data centre.
 	Evacuated func() bool
-	// Mine reports whether this instance holds the planner role.
-	Mine func() bool
-	// OnChange is called when the role is taken or released.
-	OnChange func(planning bool)
+	// HoldsRole reports whether this instance holds the planner role.
+	HoldsRole func() bool
+	// OnRoleChange is called when the role is taken or released.
+	OnRoleChange func(planning bool)
 
 	core          *Core
 	epoch         uint64
@@ -132,7 +132,7 @@
 
 // updateRole takes or releases the role and reports whether this instance plans.
 func (r *Runner) updateRole(now time.Time) bool {
-	if !r.Mine() {
+	if !r.HoldsRole() {
 		r.releaseRole()
 		return false
 	}
@@ -152,7 +152,7 @@
 	}
 	r.epoch++
 	r.core = New(r.DataCentre, domain.Token{Epoch: r.epoch, Holder: r.Instance}, r.Options, now)
-	r.OnChange(true)
+	r.OnRoleChange(true)
 	return true
 }
 
@@ -161,7 +161,7 @@
 		return
 	}
 	r.core = nil
-	r.OnChange(false)
+	r.OnRoleChange(false)
 }
 
 func (r *Runner) input(now time.Time) Inputs {
@@ -179,7 +179,7 @@
 
 func (r *Runner) hasEnded(id domain.JobID) bool {
 	status, ok := r.Jobs.Get(id)
-	return ok && status.State.Final()
+	return ok && status.State.IsFinal()
 }
 
 // do carries out one call and passes its answer to the loop. Answers to a Core that has
@@ -207,11 +207,11 @@
 
 func (r *Runner) emit(ctx context.Context, core *Core, e Emission) {
 	if e.Await == nil {
-		r.Publisher.Keep(e)
+		r.Publisher.AppendWithRetry(e)
 		return
 	}
 	go func() {
-		ok := r.Publisher.Record(ctx, e)
+		ok := r.Publisher.AppendAndConfirm(ctx, e)
 		r.deliver(ctx, core, func() { core.HandleRecorded(*e.Await, ok) })
 	}()
 }
--- a/port/port.go
+++ b/port/port.go
@@ -85,8 +85,8 @@
 	Backends  []domain.BackendServer `json:"backends,omitempty"`
 }
 
-// Update returns the inventory with the lists that changed in an answer.
-func (i Inventory) Update(answer Inventory) Inventory {
+// Merge returns the inventory with the lists that changed in an answer.
+func (i Inventory) Merge(answer Inventory) Inventory {
 	out := answer
 	if answer.Versions.Instances == i.Versions.Instances {
 		out.Instances = i.Instances
@@ -127,8 +127,8 @@
 	TaskAbsent TaskState = "absent"
 )
 
-// Live reports whether the member occupies resources of its worker.
-func (s TaskState) Live() bool {
+// HoldsResources reports whether the member occupies resources of its worker.
+func (s TaskState) HoldsResources() bool {
 	return s == TaskReserved || s == TaskArmed || s == TaskRunning
 }
 
@@ -141,10 +141,10 @@
 	VerbClaim Verb = "claim"
 	// VerbReserve reserves resources under a lease.
 	VerbReserve Verb = "reserve"
-	// VerbArm prepares processes without releasing them. It is refused after Until.
+	// VerbArm prepares processes without releasing them. It is refused after ValidUntil.
 	VerbArm Verb = "arm"
 	// VerbRelease starts the processes of an armed member. It is refused after
-	// Until, when the lease of another member may end.
+	// ValidUntil, when the lease of another member may end.
 	VerbRelease Verb = "release"
 	// VerbRenew extends the leases of the members of Gangs.
 	VerbRenew Verb = "renew"
@@ -172,11 +172,11 @@
 	// Boot is the last boot of the worker that the sender has seen; a worker that
 	// has restarted since refuses the command. Empty for VerbClaim.
 	Boot string `json:"boot,omitempty"`
-	// Until is the end of the lease, or of the command's validity, on the worker's
+	// ValidUntil is the end of the lease, or of the command's validity, on the worker's
 	// own clock. It is computed from a clock reading that the worker reported, so
 	// that a command that arrives late cannot extend a lease beyond the end that its
 	// sender assumes.
-	Until domain.Duration `json:"until,omitempty"`
+	ValidUntil domain.Duration `json:"until,omitempty"`
 	// Payload is passed to the tasks by VerbArm.
 	Payload string `json:"payload,omitempty"`
 }
@@ -202,8 +202,8 @@
 	// Refused is set if the command's token was too low or the command could not be
 	// executed; the command then had no effect.
 	Refused string `json:"refused,omitempty"`
-	// Seen is the highest token that the worker has seen.
-	Seen domain.Token `json:"seen"`
+	// HighestToken is the highest token that the worker has seen.
+	HighestToken domain.Token `json:"seen"`
 	// Boot identifies the worker's boot; it changes whenever the worker restarts
 	// with nothing running.
 	Boot string `json:"boot"`
--- a/requests/attempt/keeper.go
+++ b/requests/attempt/keeper.go
@@ -16,10 +16,10 @@
 // Journal is the part of state.Journal that the keeper uses.
 type Journal interface {
 	Append(ctx context.Context, stream port.Stream, record port.Record) (int64, error)
-	Keep(stream port.Stream, record port.Record) (<-chan struct{}, error)
+	AppendWithRetry(stream port.Stream, record port.Record) (<-chan struct{}, error)
 }
 
-// Options configure a Keeper.
+// Options configure a Coordinator.
 type Options struct {
 	// RecordTimeout bounds the time until an attempt is appended to the log and
 	// its position is known.
@@ -42,8 +42,8 @@
 	return Options{RecordTimeout: time.Second, MaxAnswerBytes: 64 << 10, RetryAfter: 2 * time.Second}
 }
 
-// Keeper begins and ends attempts for one instance. It is safe for concurrent use.
-type Keeper struct {
+// Coordinator begins and ends attempts for one instance. It is safe for concurrent use.
+type Coordinator struct {
 	Instance domain.InstanceID
 	Journal  Journal
 	Ledger   *Ledger
@@ -65,7 +65,7 @@
 // refusal. A refusal has outcome NotRun only when this call cannot have run an
 // attempt at this id, and Unknown when another attempt came first and its answer
 // did not arrive in time.
-func (k *Keeper) Begin(ctx context.Context, key Key, digest string) (BeginResult, error) {
+func (k *Coordinator) Begin(ctx context.Context, key Key, digest string) (BeginResult, error) {
 	if status, known, _ := k.Ledger.Status(key); known && status.Winner != "" {
 		return k.awaitAnswer(ctx, key, digest)
 	}
@@ -95,18 +95,18 @@
 
 // abortBegin ends an attempt whose record was not confirmed. Only this instance
 // could have dispatched it, so it has not run even if its record is in the log.
-func (k *Keeper) abortBegin(key Key, id string, cause error) error {
+func (k *Coordinator) abortBegin(key Key, id string, cause error) error {
 	if !errors.Is(cause, state.ErrNotSent) {
 		k.Abandon(key, id)
 	}
 	return domain.Refuse(domain.ReasonLogUnavailable, "",
 		"the request must run at most once, and its attempt could not be recorded in the log",
-		"retry with the same id").After(k.Options.RetryAfter)
+		"retry with the same id").WithRetryAfter(k.Options.RetryAfter)
 }
 
 // waitForOffset waits until the ledger has applied the entry at offset.
 // waitForOffset waits until the ledger has applied the entry at offset.
-func (k *Keeper) waitForOffset(ctx context.Context, offset int64) error {
+func (k *Coordinator) waitForOffset(ctx context.Context, offset int64) error {
 	for {
 		applied, advanced := k.Ledger.Applied(offset)
 		if applied {
@@ -121,7 +121,7 @@
 }
 
 // awaitAnswer waits for the answer of the first attempt in the log.
-func (k *Keeper) awaitAnswer(ctx context.Context, key Key, digest string) (BeginResult, error) {
+func (k *Coordinator) awaitAnswer(ctx context.Context, key Key, digest string) (BeginResult, error) {
 	for {
 		status, known, changed := k.Ledger.Status(key)
 		switch {
@@ -129,7 +129,7 @@
 			return BeginResult{}, domain.OutcomeUnknown(domain.ReasonOutcomeUnknown, "the outcome of an earlier attempt at this id is no longer stored")
 		case status.Winner == "":
 			return BeginResult{}, domain.Refuse(domain.ReasonOverloaded, "",
-				"an earlier attempt at this id was abandoned before it ran", "retry with the same id").After(k.Options.RetryAfter)
+				"an earlier attempt at this id was abandoned before it ran", "retry with the same id").WithRetryAfter(k.Options.RetryAfter)
 		case status.Digest != digest:
 			return BeginResult{}, domain.Refuse(domain.ReasonIDReused, "Cobalttide-Request-Id",
 				"the id was already used for a request with a different body", "use a new id for a new request")
@@ -157,12 +157,12 @@
 
 // Abandon records that an attempt was not dispatched, so that a repeat may run.
 // The caller must be certain of it.
-func (k *Keeper) Abandon(key Key, attempt string) {
+func (k *Coordinator) Abandon(key Key, attempt string) {
 	k.appendWithRetry("abandoned/"+attempt, KindAbandoned, Abandoned{Key: key, Attempt: attempt})
 }
 
 // Finish records the outcome of a dispatched attempt, which repeats receive.
-func (k *Keeper) Finish(key Key, attempt string, answer Answer) {
+func (k *Coordinator) Finish(key Key, attempt string, answer Answer) {
 	if len(answer.Body) > k.Options.MaxAnswerBytes {
 		answer.Body = nil
 		answer.Dropped = true
@@ -175,8 +175,8 @@
 // appendWithRetry passes a record to the journal, which retries the append until
 // it succeeds. A journal that is closing drops the record; repeats are then
 // correctly answered with an unknown outcome.
-func (k *Keeper) appendWithRetry(id, kind string, payload any) {
+func (k *Coordinator) appendWithRetry(id, kind string, payload any) {
 	if record, err := state.NewRecord(id, kind, payload); err == nil {
-		_, _ = k.Journal.Keep(state.AttemptStream, record)
+		_, _ = k.Journal.AppendWithRetry(state.AttemptStream, record)
 	}
 }
--- a/requests/dispatch/deduplicate.go
+++ b/requests/dispatch/deduplicate.go
@@ -17,7 +17,7 @@
 // Deduplicate passes on a request of a class that is not idempotent at most once,
 // and answers repeats with the first answer. It must precede every filter that
 // dispatches. A refusal reports not-run only when no attempt was dispatched.
-func Deduplicate(keeper *attempt.Keeper) endpoint.Middleware {
+func Deduplicate(keeper *attempt.Coordinator) endpoint.Middleware {
 	return newFilter(func(ctx context.Context, call *Call, next endpoint.Endpoint) (any, error) {
 		if call.Class.Idempotent {
 			return next(ctx, call)
@@ -66,7 +66,7 @@
 
 // endFailedAttempt ends an attempt without an answer and returns err. If the
 // request certainly did not run, the id becomes available for a repeat.
-func endFailedAttempt(keeper *attempt.Keeper, key attempt.Key, id string, err error) error {
+func endFailedAttempt(keeper *attempt.Coordinator, key attempt.Key, id string, err error) error {
 	var refusal *domain.Refusal
 	if errors.As(err, &refusal) && refusal.Outcome == domain.NotRun {
 		keeper.Abandon(key, id)
--- a/requests/dispatch/once_test.go
+++ b/requests/dispatch/once_test.go
@@ -70,7 +70,7 @@
 	for range rapid.IntRange(0, 2).Draw(t, "faults") {
 		from := ms("from", 3000)
 		s.faults = append(s.faults, logFault{from: from, to: from + ms("for", 3000), faults: standin.LogFaults{
-			Down: rapid.Bool().Draw(t, "down"), Slow: domain.Duration(ms("slow", 1500)), LoseAnswers: rapid.IntRange(0, 2).Draw(t, "lose"),
+			Down: rapid.Bool().Draw(t, "down"), Slow: domain.Duration(ms("slow", 1500)), LoseResponses: rapid.IntRange(0, 2).Draw(t, "lose"),
 		}})
 	}
 	for range instances {
@@ -132,7 +132,7 @@
 // simInstance is one simulated instance.
 type simInstance struct {
 	log     *partitionableLog
-	keeper  *attempt.Keeper
+	keeper  *attempt.Coordinator
 	journal *state.Journal
 	cancel  context.CancelFunc
 	ctx     context.Context
@@ -147,12 +147,12 @@
 	if p.mutate != nil {
 		p.mutate(&options)
 	}
-	in.keeper = &attempt.Keeper{Instance: domain.InstanceID(fmt.Sprint("i", i)), Journal: in.journal, Ledger: ledger, Options: options}
-	follower := &state.Follower{Log: log, Stream: state.AttemptStream, From: ledger.Offset, Apply: func(e port.Entry) {
+	in.keeper = &attempt.Coordinator{Instance: domain.InstanceID(fmt.Sprint("i", i)), Journal: in.journal, Ledger: ledger, Options: options}
+	follower := &state.Follower{Log: log, Stream: state.AttemptStream, NextOffset: ledger.Offset, Apply: func(e port.Entry) {
 		if err := ledger.FoldEntry(e); err != nil {
 			panic(err) // the simulation writes only decodable records
 		}
-		in.journal.Seen(state.AttemptStream, e)
+		in.journal.ConfirmRead(state.AttemptStream, e)
 	}}
 	go follower.Run(ctx)
 	return in
@@ -305,7 +305,7 @@
 	}
 	for name, mutate := range mutants {
 		t.Run(name, func(t *testing.T) {
-			caught := seeded.Catches(t, func(rt *rapid.T) {
+			caught := seeded.FailsForAnySeed(t, func(rt *rapid.T) {
 				if violation, _ := runScenario(t, drawScenario(rt), mutate); violation != "" {
 					rt.Fatalf("%s", violation)
 				}
--- a/requests/dispatch/rate.go
+++ b/requests/dispatch/rate.go
@@ -9,8 +9,8 @@
 	"github.com/cobalttide/cobalttide/requests/limit"
 )
 
-// Rate limits the requests per second of each account.
-func Rate(rates *limit.Rates) endpoint.Middleware {
+// LimitRate limits the requests per second of each account.
+func LimitRate(rates *limit.Limiters) endpoint.Middleware {
 	return newFilter(func(ctx context.Context, call *Call, next endpoint.Endpoint) (any, error) {
 		if refusal := rates.Allow(call.Account, call.PerSecond, time.Now()); refusal != nil {
 			return nil, refusal
--- a/requests/dispatch/route.go
+++ b/requests/dispatch/route.go
@@ -117,9 +117,9 @@
 	if !notRun {
 		refusal := domain.OutcomeUnknown(reason, message)
 		refusal.Remedy = "retry it: its class is idempotent"
-		return refusal.After(r.Options.RetryAfter)
+		return refusal.WithRetryAfter(r.Options.RetryAfter)
 	}
-	return domain.Refuse(reason, "", message, "retry after the given time").After(r.Options.RetryAfter)
+	return domain.Refuse(reason, "", message, "retry after the given time").WithRetryAfter(r.Options.RetryAfter)
 }
 
 func (r *Router) callBackend(ctx context.Context, call *Call, backend *routing.Backend) (*Answer, *failure) {
--- a/requests/limit/gate.go
+++ b/requests/limit/gate.go
@@ -14,14 +14,14 @@
 type GateOptions struct {
 	// MaxWaiting is the maximum number of queued requests of all accounts.
 	MaxWaiting int
-	// Least and Most bound the adaptive limit on concurrent requests.
-	Least, Most int
+	// MinLimit and MaxLimit bound the adaptive limit on concurrent requests.
+	MinLimit, MaxLimit int
 }
 
 // DefaultGateOptions returns options for an instance with some dozens of backend
 // servers.
 func DefaultGateOptions() GateOptions {
-	return GateOptions{MaxWaiting: 2000, Least: 8, Most: 20_000}
+	return GateOptions{MaxWaiting: 2000, MinLimit: 8, MaxLimit: 20_000}
 }
 
 // Request describes one request that asks for admission.
@@ -73,7 +73,7 @@
 func (g *Gate) SetLimit(limit int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limit = min(max(limit, g.options.Least), g.options.Most)
+	g.limit = min(max(limit, g.options.MinLimit), g.options.MaxLimit)
 	g.grant(now)
 }
 
@@ -177,7 +177,7 @@
 func overloaded(retryAfter time.Duration) *domain.Refusal {
 	return domain.Refuse(domain.ReasonOverloaded, "",
 		"the request would not be served by its deadline",
-		"retry after the given time, or set a later deadline").After(max(retryAfter, 100*time.Millisecond))
+		"retry after the given time, or set a later deadline").WithRetryAfter(max(retryAfter, 100*time.Millisecond))
 }
 
 // shed refuses one queued request when too many wait: of the account with the
@@ -257,7 +257,7 @@
 		if other == w {
 			g.remove(i)
 			return domain.Refuse(domain.ReasonDeadline, "", "the deadline passed while the request waited",
-				"retry after the given time").After(max(g.meanServiceTime, 100*time.Millisecond))
+				"retry after the given time").WithRetryAfter(max(g.meanServiceTime, 100*time.Millisecond))
 		}
 	}
 	// The request was admitted or refused at the same moment.
--- a/requests/limit/gate_test.go
+++ b/requests/limit/gate_test.go
@@ -81,7 +81,7 @@
 
 func TestRequestThatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGate(1, GateOptions{MaxWaiting: 1000, Least: 1, Most: 1})
+		g := NewGate(1, GateOptions{MaxWaiting: 1000, MinLimit: 1, MaxLimit: 1})
 		var s loadResult
 		s.sendOne(g, "a") // gives the gate a mean service time
 		var wg sync.WaitGroup
@@ -110,7 +110,7 @@
 
 func TestFullQueueShedsTheLowestPriorityOfTheAccountThatWaitsMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGate(1, GateOptions{MaxWaiting: 2, Least: 1, Most: 1})
+		g := NewGate(1, GateOptions{MaxWaiting: 2, MinLimit: 1, MaxLimit: 1})
 		ctx := context.Background()
 		deadline := time.Now().Add(time.Hour)
 		if err := g.Enter(ctx, Request{Account: "a", Deadline: deadline}, time.Now()); err != nil {
--- a/requests/limit/rate.go
+++ b/requests/limit/rate.go
@@ -12,19 +12,19 @@
 // burstSeconds is the burst size, in seconds of an account's rate.
 const burstSeconds = 1.0
 
-// Rates limits the requests per second of each account. It is safe for concurrent
+// Limiters limit the requests per second of each account. It is safe for concurrent
 // use.
-type Rates struct {
+type Limiters struct {
 	mu       sync.Mutex
 	limiters map[domain.AccountID]*rate.Limiter
 }
 
-// NewRates returns rate limits that have seen no account yet.
-func NewRates() *Rates { return &Rates{limiters: map[domain.AccountID]*rate.Limiter{}} }
+// NewLimiters returns rate limits that have seen no account yet.
+func NewLimiters() *Limiters { return &Limiters{limiters: map[domain.AccountID]*rate.Limiter{}} }
 
 // Allow admits one request of the account and returns nil, or returns a refusal
 // with a retry delay. A changed perSecond takes effect immediately.
-func (r *Rates) Allow(id domain.AccountID, perSecond float64, now time.Time) *domain.Refusal {
+func (r *Limiters) Allow(id domain.AccountID, perSecond float64, now time.Time) *domain.Refusal {
 	limiter := r.limiter(id, perSecond, now)
 	reservation := limiter.ReserveN(now, 1)
 	delay := reservation.DelayFrom(now)
@@ -33,10 +33,10 @@
 	}
 	reservation.CancelAt(now)
 	return domain.Refuse(domain.ReasonRateLimited, "", "the account exceeds its requests per second at this instance",
-		"retry after the given time, or have requests_per_second raised").After(delay)
+		"retry after the given time, or have requests_per_second raised").WithRetryAfter(delay)
 }
 
-func (r *Rates) limiter(id domain.AccountID, perSecond float64, now time.Time) *rate.Limiter {
+func (r *Limiters) limiter(id domain.AccountID, perSecond float64, now time.Time) *rate.Limiter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	limiter, ok := r.limiters[id]
--- a/scheduler/admission/admission.go
+++ b/scheduler/admission/admission.go
@@ -43,15 +43,15 @@
 // idPattern restricts ids to what fits into a URL path and a log line.
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
-// ValidID reports whether a caller's id of a job or request can be used.
-func ValidID(id string) bool { return idPattern.MatchString(id) }
+// IsValidID reports whether a caller's id of a job or request can be used.
+func IsValidID(id string) bool { return idPattern.MatchString(id) }
 
 // maxPayload is the largest payload of a job, in bytes.
 const maxPayload = 64 << 10
 
 // CheckFields validates the fields of the job itself.
 func CheckFields(job domain.Job, _ Snapshot) *domain.Refusal {
-	if !ValidID(string(job.ID)) {
+	if !IsValidID(string(job.ID)) {
 		return domain.Refuse(domain.ReasonInvalid, "id", "is missing, too long, or has characters other than letters, digits, '.', '_' and '-'",
 			"choose an id of 1 to 128 such characters that begins with a letter or digit; reuse it to repeat the submission")
 	}
--- a/scheduler/filter_borrow.go
+++ b/scheduler/filter_borrow.go
@@ -33,7 +33,7 @@
 // borrow places a job on any free capacity. A preemptible job may use cells; a
 // non-preemptible job must leave the capacity that the cells need. A job may use workers
 // that are reserved for a large job only if it is expected to end before they are needed.
-func borrow(c *cycle, w *Waiting) decision {
+func borrow(c *cycle, w *WaitingJob) decision {
 	key := searchKey{shape: w.Job.Shape, mode: modePinned}
 	if w.Class.Preemptible() {
 		key.mode = modePreemptible
@@ -66,7 +66,7 @@
 
 // canBackfill reports whether the job is expected to end before a reserved block is
 // needed. It may then use reserved workers that were excluded from the cached search.
-func (c *cycle) canBackfill(w *Waiting) bool {
+func (c *cycle) canBackfill(w *WaitingJob) bool {
 	expectedEnd := c.Now.Add(w.Expected)
 	for _, r := range c.reserved {
 		if !expectedEnd.After(r.Start) {
@@ -76,7 +76,7 @@
 	return false
 }
 
-func (c *cycle) borrowable(w *Waiting, n *placement.Node) domain.Resources {
+func (c *cycle) borrowable(w *WaitingJob, n *placement.Node) domain.Resources {
 	if w.Class.Preemptible() {
 		return n.Free()
 	}
@@ -84,7 +84,7 @@
 }
 
 // waitForBlock gives the job a reservation if it is eligible for one.
-func (c *cycle) waitForBlock(w *Waiting, largest int) decision {
+func (c *cycle) waitForBlock(w *WaitingJob, largest int) decision {
 	if !c.ensureReservation(w) {
 		c.addHeld(w, HeldNoBlock, w.Job.Shape.Tasks, largest)
 		return wait
@@ -96,7 +96,7 @@
 // reserves a block if the job is next in line for one. The block stays the same from plan
 // to plan: if a gang overruns its estimate, the expected start moves, but the capacity
 // that has drained so far is not given away.
-func (c *cycle) ensureReservation(w *Waiting) bool {
+func (c *cycle) ensureReservation(w *WaitingJob) bool {
 	old, held := c.reserved[w.Job.ID]
 	if !held && (len(c.reserved) >= c.maxReservations() || (c.candidates != nil && !c.candidates[w.Job.ID])) {
 		return false
@@ -137,7 +137,7 @@
 
 // fitsOutsideCells reports whether the gang would fit outside all cells if nothing else
 // ran.
-func (c *cycle) fitsOutsideCells(w *Waiting) bool {
+func (c *cycle) fitsOutsideCells(w *WaitingJob) bool {
 	outsideCells := func(n *placement.Node) domain.Resources { return n.Worker.Capacity.Sub(n.CellTotal) }
 	_, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.FirstFit, outsideCells)
 	return ok
@@ -153,7 +153,7 @@
 
 // earliestBlock returns where and when the job will first fit if gangs end as expected.
 // Workers that are reserved for other jobs are excluded.
-func (c *cycle) earliestBlock(w *Waiting, scope searchScope) (domain.Placement, time.Time, bool) {
+func (c *cycle) earliestBlock(w *WaitingJob, scope searchScope) (domain.Placement, time.Time, bool) {
 	byEnd := c.gangsByEnd()
 	lo, hi := 0, len(byEnd)
 	var best domain.Placement
@@ -190,7 +190,7 @@
 	return out
 }
 
-func (c *cycle) findAfterEnds(w *Waiting, ended []int, scope searchScope) (domain.Placement, bool) {
+func (c *cycle) findAfterEnds(w *WaitingJob, ended []int, scope searchScope) (domain.Placement, bool) {
 	freed := map[domain.WorkerID]domain.Resources{}
 	for _, i := range ended {
 		g := &c.gangs[i]
@@ -214,7 +214,7 @@
 
 // preemptForUrgent lets an urgent job that is outside its account's guarantee preempt
 // borrowers that are not urgent.
-func preemptForUrgent(c *cycle, w *Waiting) decision {
+func preemptForUrgent(c *cycle, w *WaitingJob) decision {
 	if !w.Class.Urgent || !c.policy.Guarantees {
 		return pass
 	}
@@ -224,13 +224,13 @@
 	return c.reclaim(w, available, false, w.canPreempt)
 }
 
-func (c *cycle) reclaimable(w *Waiting, n *placement.Node) domain.Resources {
+func (c *cycle) reclaimable(w *WaitingJob, n *placement.Node) domain.Resources {
 	return c.reclaimableBy(w, n, w.canPreempt)
 }
 
 // reclaimableBy returns the amount that the job could use of a worker after the gangs that
 // may be preempted for it have stopped.
-func (c *cycle) reclaimableBy(w *Waiting, n *placement.Node, canPreempt func(*Gang) bool) domain.Resources {
+func (c *cycle) reclaimableBy(w *WaitingJob, n *placement.Node, canPreempt func(*Gang) bool) domain.Resources {
 	have := n.Free().Add(n.Stopping).Add(c.preemptibleUse(n, canPreempt))
 	if w.Class.Preemptible() {
 		return have
@@ -260,7 +260,7 @@
 // borrower that is not urgent; a starved job may preempt those that were submitted later.
 // Urgent gangs are never preempted here, because they would take the place back in the
 // next plan: a gang is preempted only for a job that goes before it.
-func (w *Waiting) canPreempt(g *Gang) bool {
+func (w *WaitingJob) canPreempt(g *Gang) bool {
 	if !isMovable(g) {
 		return false
 	}
@@ -273,7 +273,7 @@
 // preemptForStarved lets a job that has waited longer than Policy.StarveAfter take its
 // reserved block back from borrowers that were submitted after it. It bounds the wait of a
 // large job, however many small jobs arrive.
-func preemptForStarved(c *cycle, w *Waiting) decision {
+func preemptForStarved(c *cycle, w *WaitingJob) decision {
 	r, ok := c.reserved[w.Job.ID]
 	if !ok || !c.policy.Guarantees || !c.isStarved(w) {
 		return pass
--- a/scheduler/filter_consolidate.go
+++ b/scheduler/filter_consolidate.go
@@ -11,7 +11,7 @@
 // costs: the idle accelerator time until the block would drain by itself, compared with
 // the work that the borrowers lose. The borrowers continue elsewhere. There is no other
 // defragmentation; gangs within their guarantee and non-preemptible gangs are never moved.
-func consolidate(c *cycle, w *Waiting) decision {
+func consolidate(c *cycle, w *WaitingJob) decision {
 	r, ok := c.reserved[w.Job.ID]
 	if !ok || !c.policy.Guarantees || c.policy.ConsolidateGain == 0 {
 		return pass
--- a/scheduler/filter_guaranteed.go
+++ b/scheduler/filter_guaranteed.go
@@ -11,7 +11,7 @@
 // then considered with the spare capacity. While urgent or large jobs wait, which are
 // offered the spare capacity first, the job uses its cells and leaves that capacity to
 // them.
-func claimCells(c *cycle, w *Waiting) decision {
+func claimCells(c *cycle, w *WaitingJob) decision {
 	if !c.hasUrgentOrLarge {
 		if _, ok := c.findOutsideCells(w); ok {
 			return pass
@@ -23,7 +23,7 @@
 // placeInCells places a job within its account's cells: on free capacity, else on capacity
 // that stopping gangs are freeing, else by preempting the borrowers that use the cells.
 // The invariant of package guarantee makes the last always possible.
-func placeInCells(c *cycle, w *Waiting) decision {
+func placeInCells(c *cycle, w *WaitingJob) decision {
 	if !c.policy.Guarantees {
 		return pass
 	}
@@ -35,7 +35,7 @@
 // reclaim starts the job if the available capacity is free. Otherwise it allocates a place
 // that borrowers hold and preempts those that are not stopping yet; the job starts in a
 // later plan, after they have stopped.
-func (c *cycle) reclaim(w *Waiting, available placement.Available, guaranteed bool, canPreempt func(*Gang) bool) decision {
+func (c *cycle) reclaim(w *WaitingJob, available placement.Available, guaranteed bool, canPreempt func(*Gang) bool) decision {
 	free := func(n *placement.Node) domain.Resources { return minResources(available(n), n.Free()) }
 	if p, ok := c.finder.Find(c.cluster, w.Job.Shape, placement.BestFit, free); ok {
 		c.start(w, p, guaranteed)
@@ -59,11 +59,11 @@
 
 // preemptFor preempts on each worker the borrowers that lose the least work, until the
 // placement fits.
-func (c *cycle) preemptFor(w *Waiting, p domain.Placement, canPreempt func(*Gang) bool) {
+func (c *cycle) preemptFor(w *WaitingJob, p domain.Placement, canPreempt func(*Gang) bool) {
 	for _, a := range p {
 		n := c.cluster.Node(a.Worker)
 		need := w.Job.Shape.PerTask.Times(a.Tasks)
-		for !need.Fits(n.Free().Add(n.Stopping)) {
+		for !need.FitsIn(n.Free().Add(n.Stopping)) {
 			victim := c.cheapestVictim(n, canPreempt)
 			if victim < 0 {
 				break
@@ -95,10 +95,10 @@
 	if g.Class.Checkpointable {
 		return g.Class.Grace.Std().Seconds() * accelerators
 	}
-	return c.Now.Sub(g.Saved).Seconds() * accelerators
+	return c.Now.Sub(g.LastCheckpoint).Seconds() * accelerators
 }
 
-func (c *cycle) preempt(i int, w *Waiting) {
+func (c *cycle) preempt(i int, w *WaitingJob) {
 	g := &c.gangs[i]
 	for _, a := range g.Placement {
 		n := c.cluster.Node(a.Worker)
@@ -126,7 +126,7 @@
 
 // excludeAvoided returns -1 for every resource of a worker that the job avoids because it
 // has failed there, and otherwise the given amount.
-func (c *cycle) excludeAvoided(w *Waiting, n *placement.Node, have domain.Resources) domain.Resources {
+func (c *cycle) excludeAvoided(w *WaitingJob, n *placement.Node, have domain.Resources) domain.Resources {
 	if c.avoidsFailed[w.Job.ID] && slices.Contains(w.Avoid, n.Worker.ID) {
 		return domain.Resources{Accelerators: -1, CPU: -1, MemoryMiB: -1}
 	}
--- a/scheduler/filter_outside_cells.go
+++ b/scheduler/filter_outside_cells.go
@@ -9,7 +9,7 @@
 // free capacity outside all cells. It can't be reclaimed there, and its account's cells
 // stay whole for the shapes that they are made for. It takes no precedence: urgent and
 // large jobs are offered that capacity first.
-func placeOutsideCells(c *cycle, w *Waiting) decision {
+func placeOutsideCells(c *cycle, w *WaitingJob) decision {
 	p, ok := c.findOutsideCells(w)
 	if !ok {
 		return pass
@@ -19,7 +19,7 @@
 }
 
 // findOutsideCells searches for a placement for placeOutsideCells.
-func (c *cycle) findOutsideCells(w *Waiting) (domain.Placement, bool) {
+func (c *cycle) findOutsideCells(w *WaitingJob) (domain.Placement, bool) {
 	if !c.policy.Guarantees || !c.isSmallerThanGuarantees(w) {
 		return nil, false
 	}
@@ -39,7 +39,7 @@
 // isSmallerThanGuarantees reports whether every block that the account is guaranteed in
 // this data centre is larger than the job. It returns false for an account without
 // guarantees, which has no cells to keep whole.
-func (c *cycle) isSmallerThanGuarantees(w *Waiting) bool {
+func (c *cycle) isSmallerThanGuarantees(w *WaitingJob) bool {
 	size := w.Job.Shape.Accelerators()
 	found := false
 	for _, g := range c.Accounts[w.Job.Account].Guarantees {
--- a/scheduler/filter_quota.go
+++ b/scheduler/filter_quota.go
@@ -8,7 +8,7 @@
 
 // checkFeasible holds a job back that would not fit on the schedulable workers even if
 // they were empty. The job gives up its reservation meanwhile.
-func checkFeasible(c *cycle, w *Waiting) decision {
+func checkFeasible(c *cycle, w *WaitingJob) decision {
 	capacity := func(n *placement.Node) domain.Resources { return n.Worker.Capacity }
 	key := searchKey{shape: w.Job.Shape, mode: modeEmpty}
 	failure, known := c.failures[key]
@@ -31,7 +31,7 @@
 
 // decideAvoidance makes the job avoid the workers on which it has failed, but only if it
 // fits on the other ones.
-func (c *cycle) decideAvoidance(w *Waiting) {
+func (c *cycle) decideAvoidance(w *WaitingJob) {
 	if len(w.Avoid) == 0 {
 		return
 	}
@@ -43,7 +43,7 @@
 
 // isPinnable reports whether the job is preemptible, or fits into its own account's cells
 // or outside all cells.
-func (c *cycle) isPinnable(w *Waiting) bool {
+func (c *cycle) isPinnable(w *WaitingJob) bool {
 	if w.Class.Preemptible() || !c.policy.Guarantees {
 		return true
 	}
@@ -59,17 +59,17 @@
 }
 
 // checkTeamCeiling holds a job back if its team would exceed its ceiling.
-func checkTeamCeiling(c *cycle, w *Waiting) decision {
+func checkTeamCeiling(c *cycle, w *WaitingJob) decision {
 	return c.checkCeiling(w, HeldTeamCeiling, c.usage.CheckTeamCeiling(w.Job, c.Accounts[w.Job.Account]))
 }
 
 // checkAccountCeiling holds a job back if its account would borrow beyond its ceiling.
-func checkAccountCeiling(c *cycle, w *Waiting) decision {
+func checkAccountCeiling(c *cycle, w *WaitingJob) decision {
 	return c.checkCeiling(w, HeldAccountCeiling, c.usage.CheckAccountCeiling(w.Job, c.Accounts[w.Job.Account]))
 }
 
 // checkCeiling holds a job back if it exceeds a limit; the job gives up its reservation.
-func (c *cycle) checkCeiling(w *Waiting, reason HeldReason, exceeded *quota.Exceeded) decision {
+func (c *cycle) checkCeiling(w *WaitingJob, reason HeldReason, exceeded *quota.Exceeded) decision {
 	if exceeded == nil {
 		return pass
 	}
--- a/scheduler/guarantee/bind.go
+++ b/scheduler/guarantee/bind.go
@@ -136,7 +136,7 @@
 func (b *Binder) tryKeep(old Cell) bool {
 	for _, a := range old.Placement {
 		n := b.cluster.Node(a.Worker)
-		if n == nil || !n.Schedulable || !old.Shape.PerTask.Times(a.Tasks).Fits(unassigned(n)) {
+		if n == nil || !n.Schedulable || !old.Shape.PerTask.Times(a.Tasks).FitsIn(unassigned(n)) {
 			return false
 		}
 	}
@@ -181,7 +181,7 @@
 	var out []Violation
 	for i := range c.Nodes {
 		n := &c.Nodes[i]
-		if remaining := unassigned(n); n.Schedulable && remaining.Negative() {
+		if remaining := unassigned(n); n.Schedulable && remaining.HasNegative() {
 			out = append(out, Violation{Worker: n.Worker.ID, Shortfall: domain.Resources{}.Sub(remaining)})
 		}
 	}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -9,8 +9,8 @@
 
 // order returns the waiting jobs in the order in which they are considered: urgent jobs
 // first, then the accounts in turns by dominant share.
-func (c *cycle) order() []*Waiting {
-	jobs := make([]*Waiting, len(c.Waiting))
+func (c *cycle) order() []*WaitingJob {
+	jobs := make([]*WaitingJob, len(c.Waiting))
 	for i := range c.Waiting {
 		jobs[i] = &c.Waiting[i]
 	}
@@ -21,20 +21,20 @@
 	return c.interleaveAccounts(jobs)
 }
 
-func compareSubmission(a, b *Waiting) int {
+func compareSubmission(a, b *WaitingJob) int {
 	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Job.ID, b.Job.ID))
 }
 
 // interleaveAccounts merges the accounts' queues. The account with the lowest charge goes
 // next and is charged for its job as if it had started. If that job then has to wait, its
 // account has lost a turn in this plan but keeps its place in the next one.
-func (c *cycle) interleaveAccounts(jobs []*Waiting) []*Waiting {
+func (c *cycle) interleaveAccounts(jobs []*WaitingJob) []*WaitingJob {
 	queues := c.queues(jobs)
 	charged := make(map[domain.AccountID]float64, len(queues))
 	for _, q := range queues {
 		charged[q.account] = c.usage.DominantShare(q.account, c.weight(q.account))
 	}
-	out := make([]*Waiting, 0, len(jobs))
+	out := make([]*WaitingJob, 0, len(jobs))
 	for len(out) < len(jobs) {
 		next := c.nextQueue(queues, charged)
 		w := next.jobs[0]
@@ -47,10 +47,10 @@
 
 type accountQueue struct {
 	account domain.AccountID
-	jobs    []*Waiting
+	jobs    []*WaitingJob
 }
 
-func (c *cycle) queues(jobs []*Waiting) []*accountQueue {
+func (c *cycle) queues(jobs []*WaitingJob) []*accountQueue {
 	byAccount := map[domain.AccountID]*accountQueue{}
 	var queues []*accountQueue
 	for _, w := range jobs {
@@ -71,7 +71,7 @@
 
 // compareWithinAccount orders urgent jobs first, then by priority, then teams within their
 // nominal quota, then by the highest response ratio.
-func (c *cycle) compareWithinAccount(a, b *Waiting) int {
+func (c *cycle) compareWithinAccount(a, b *WaitingJob) int {
 	return cmp.Or(
 		-compareBool(a.Class.Urgent, b.Class.Urgent),
 		-cmp.Compare(a.Class.Priority, b.Class.Priority),
@@ -90,20 +90,20 @@
 	return -1
 }
 
-func (c *cycle) isOverNominal(w *Waiting) bool {
+func (c *cycle) isOverNominal(w *WaitingJob) bool {
 	return c.usage.IsOverNominal(w.Job, c.Accounts[w.Job.Account])
 }
 
 // responseRatio is (wait + run) / run, as in highest response ratio next scheduling. It
 // grows without bound, so every job comes to the front eventually.
-func (c *cycle) responseRatio(w *Waiting) float64 {
+func (c *cycle) responseRatio(w *WaitingJob) float64 {
 	run := max(w.Expected.Seconds(), 1)
 	return (c.Now.Sub(w.Since).Seconds() + run) / run
 }
 
 func (c *cycle) weight(id domain.AccountID) int { return c.Accounts[id].Weight }
 
-func (c *cycle) weightedShare(w *Waiting) float64 {
+func (c *cycle) weightedShare(w *WaitingJob) float64 {
 	share := float64(w.Job.Shape.Accelerators()) / float64(max(1, c.usage.Capacity.Accelerators))
 	return share / float64(max(1, c.weight(w.Job.Account)))
 }
--- a/scheduler/placement/cluster.go
+++ b/scheduler/placement/cluster.go
@@ -179,8 +179,8 @@
 	return sum
 }
 
-// Hold adds a gang's use to its workers. Workers that are not in the cluster are skipped.
-func (c *Cluster) Hold(p domain.Placement, perTask domain.Resources) {
+// Allocate adds a gang's use to its workers. Workers that are not in the cluster are skipped.
+func (c *Cluster) Allocate(p domain.Placement, perTask domain.Resources) {
 	for _, a := range p {
 		if n := c.Node(a.Worker); n != nil {
 			n.Used = n.Used.Add(perTask.Times(a.Tasks))
--- a/scheduler/placement/find.go
+++ b/scheduler/placement/find.go
@@ -221,7 +221,7 @@
 // adjacency. Refusals quote it.
 func (f *Finder) LargestBlock(c *Cluster, shape domain.Shape, available Available) int {
 	unbounded := shape
-	unbounded.Tasks = domain.MaxGang
+	unbounded.Tasks = domain.MaxGangSize
 	f.countTasks(c, unbounded, available)
 	best := 0
 	switch shape.Adjacency {
--- a/scheduler/placement/fragmentation.go
+++ b/scheduler/placement/fragmentation.go
@@ -21,7 +21,7 @@
 		if !ok {
 			return free, unusable
 		}
-		scratch.Hold(p, shape.PerTask)
+		scratch.Allocate(p, shape.PerTask)
 		unusable -= shape.Accelerators()
 	}
 }
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -20,7 +20,7 @@
 )
 
 // filter is one step of the filter chain.
-type filter func(c *cycle, w *Waiting) decision
+type filter func(c *cycle, w *WaitingJob) decision
 
 // claimFilters are applied to every job first: guarantees are settled before any job
 // borrows, so that a place for which borrowers were preempted can't be borrowed again.
@@ -30,7 +30,7 @@
 	spareFilters = []filter{placeOutsideCells, placeInCells, checkAccountCeiling, borrow, preemptForUrgent, consolidate, preemptForStarved}
 )
 
-// cycle is the state of one scheduling cycle, which is one call of Make.
+// cycle is the state of one scheduling cycle, which is one call of MakePlan.
 type cycle struct {
 	Snapshot
 	policy  Policy
@@ -51,10 +51,10 @@
 	plan             Plan
 }
 
-// Make decides which jobs start now and which gangs are preempted.
-func Make(s Snapshot, policy Policy) Plan {
+// MakePlan decides which jobs start now and which gangs are preempted.
+func MakePlan(s Snapshot, policy Policy) Plan {
 	c := newCycle(s, policy)
-	var undecided []*Waiting
+	var undecided []*WaitingJob
 	for _, w := range c.order() {
 		if c.applyFilters(w, claimFilters) == pass {
 			undecided = append(undecided, w)
@@ -76,12 +76,12 @@
 // prioritizeLarge moves the jobs that hold a reservation, or are the next to get one,
 // behind the urgent jobs and before all others, so that the capacity that they wait for is
 // assigned before it is borrowed. Starved jobs go first among them.
-func (c *cycle) prioritizeLarge(jobs []*Waiting) {
+func (c *cycle) prioritizeLarge(jobs []*WaitingJob) {
 	if c.policy.FIFO {
 		return
 	}
 	c.chooseCandidates(jobs)
-	rank := func(w *Waiting) int {
+	rank := func(w *WaitingJob) int {
 		switch {
 		case w.Class.Urgent:
 			return 0
@@ -92,7 +92,7 @@
 		}
 		return 3
 	}
-	slices.SortStableFunc(jobs, func(a, b *Waiting) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(jobs, func(a, b *WaitingJob) int { return rank(a) - rank(b) })
 }
 
 func (c *cycle) maxReservations() int {
@@ -103,12 +103,12 @@
 }
 
 // chooseCandidates assigns the free reservations to the oldest large jobs.
-func (c *cycle) chooseCandidates(jobs []*Waiting) {
+func (c *cycle) chooseCandidates(jobs []*WaitingJob) {
 	c.candidates = map[domain.JobID]bool{}
 	for id := range c.reserved {
 		c.candidates[id] = true
 	}
-	var large []*Waiting
+	var large []*WaitingJob
 	for _, w := range jobs {
 		if c.isLarge(w) && !c.candidates[w.Job.ID] {
 			large = append(large, w)
@@ -125,19 +125,19 @@
 
 // isLarge reports whether a job needs more than one worker, or has waited longer than
 // Policy.StarveAfter and is treated like one that does.
-func (c *cycle) isLarge(w *Waiting) bool {
+func (c *cycle) isLarge(w *WaitingJob) bool {
 	if c.policy.StarveAfter > 0 && c.Now.Sub(w.Since) > c.policy.StarveAfter {
 		return true
 	}
 	return w.Job.Shape.Tasks > 1 && w.Job.Shape.Adjacency != domain.SameWorker
 }
 
-func (c *cycle) isStarved(w *Waiting) bool {
+func (c *cycle) isStarved(w *WaitingJob) bool {
 	_, reserved := c.reserved[w.Job.ID]
 	return reserved && c.policy.StarveAfter > 0 && c.Now.Sub(w.Since) > c.policy.StarveAfter
 }
 
-func (c *cycle) applyFilters(w *Waiting, filters []filter) decision {
+func (c *cycle) applyFilters(w *WaitingJob, filters []filter) decision {
 	for _, f := range filters {
 		if v := f(c, w); v != pass {
 			return v
@@ -295,14 +295,14 @@
 }
 
 // start allocates the placement and adds the start to the plan.
-func (c *cycle) start(w *Waiting, p domain.Placement, guaranteed bool) {
+func (c *cycle) start(w *WaitingJob, p domain.Placement, guaranteed bool) {
 	c.dropReservation(w.Job.ID)
 	c.allocate(w, p, guaranteed)
 	c.plan.Starts = append(c.plan.Starts, Start{Job: w.Job.ID, Placement: p, Guaranteed: guaranteed})
 }
 
 // allocate reserves the placement for the job within this plan.
-func (c *cycle) allocate(w *Waiting, p domain.Placement, guaranteed bool) {
+func (c *cycle) allocate(w *WaitingJob, p domain.Placement, guaranteed bool) {
 	c.usage.Add(w.Job, guaranteed)
 	for _, a := range p {
 		n := c.cluster.Node(a.Worker)
@@ -317,7 +317,7 @@
 	}
 }
 
-func (c *cycle) addHeld(w *Waiting, reason HeldReason, need, have int) {
+func (c *cycle) addHeld(w *WaitingJob, reason HeldReason, need, have int) {
 	held := Held{Job: w.Job.ID, Reason: reason, Need: need, Have: have}
 	if r, ok := c.reserved[w.Job.ID]; ok {
 		held.StartBy = r.Start
--- a/scheduler/plan_test.go
+++ b/scheduler/plan_test.go
@@ -45,13 +45,13 @@
 	return account
 }
 
-func waitingJob(id string, account domain.AccountID, class domain.Class, shape domain.Shape, age time.Duration) Waiting {
+func waitingJob(id string, account domain.AccountID, class domain.Class, shape domain.Shape, age time.Duration) WaitingJob {
 	job := domain.Job{ID: domain.JobID(id), Account: account, Shape: shape, Submitted: now.Add(-age)}
-	return Waiting{Job: job, Class: class, Since: job.Submitted, Expected: time.Hour}
+	return WaitingJob{Job: job, Class: class, Since: job.Submitted, Expected: time.Hour}
 }
 
-func gangOf(w Waiting, p domain.Placement, guaranteed bool) Gang {
-	return Gang{Job: w.Job, Class: w.Class, Placement: p, Guaranteed: guaranteed, Started: now, Saved: now, Remaining: w.Expected}
+func gangOf(w WaitingJob, p domain.Placement, guaranteed bool) Gang {
+	return Gang{Job: w.Job, Class: w.Class, Placement: p, Guaranteed: guaranteed, Started: now, LastCheckpoint: now, Remaining: w.Expected}
 }
 
 // Guards against an urgent borrower and a guaranteed gang preempting each other in turns:
@@ -64,21 +64,21 @@
 	}
 	borrower := waitingJob("borrower", "b", urgentClass, wholeRack, time.Minute)
 	owner := waitingJob("owner", "a", idempotentClass, wholeRack, time.Second)
-	s.Waiting = []Waiting{borrower}
-	first := Make(s, DefaultPolicy())
+	s.Waiting = []WaitingJob{borrower}
+	first := MakePlan(s, DefaultPolicy())
 	if len(first.Starts) != 1 {
 		t.Fatalf("the borrower does not start on an empty fleet: %+v", first.Held)
 	}
 	s.Gangs = []Gang{gangOf(borrower, first.Starts[0].Placement, false)}
-	s.Waiting = []Waiting{owner}
+	s.Waiting = []WaitingJob{owner}
 	s.Binding = first.Binding
-	second := Make(s, DefaultPolicy())
+	second := MakePlan(s, DefaultPolicy())
 	if len(second.Preemptions) != 1 {
 		t.Fatalf("the owner does not reclaim its cell; held: %+v", second.Held)
 	}
 	s.Gangs = nil
-	s.Waiting = []Waiting{borrower, owner}
-	third := Make(s, DefaultPolicy())
+	s.Waiting = []WaitingJob{borrower, owner}
+	third := MakePlan(s, DefaultPolicy())
 	if len(third.Starts) != 1 || third.Starts[0].Job != "owner" {
 		t.Fatalf("started after the borrower has stopped: %+v, want the owner only", third.Starts)
 	}
@@ -121,7 +121,7 @@
 }
 
 func (m *model) plan() Plan {
-	plan := Make(m.snapshot, m.policy)
+	plan := MakePlan(m.snapshot, m.policy)
 	m.snapshot.Binding = plan.Binding
 	m.snapshot.Reservations = plan.Reservations
 	for _, p := range plan.Preemptions {
@@ -152,7 +152,7 @@
 			remaining = append(remaining, g)
 			continue
 		}
-		m.snapshot.Waiting = append(m.snapshot.Waiting, Waiting{Job: g.Job, Class: g.Class, Since: g.Job.Submitted, Expected: time.Hour})
+		m.snapshot.Waiting = append(m.snapshot.Waiting, WaitingJob{Job: g.Job, Class: g.Class, Since: g.Job.Submitted, Expected: time.Hour})
 	}
 	m.snapshot.Gangs = remaining
 }
@@ -162,10 +162,10 @@
 func (m *model) checkInvariants(t *rapid.T) {
 	used := placement.NewCluster(m.snapshot.Workers)
 	for _, g := range m.snapshot.Gangs {
-		used.Hold(g.Placement, g.Job.Shape.PerTask)
+		used.Allocate(g.Placement, g.Job.Shape.PerTask)
 	}
 	for i := range used.Nodes {
-		if used.Nodes[i].Free().Negative() {
+		if used.Nodes[i].Free().HasNegative() {
 			t.Fatalf("worker %s holds more than its capacity", used.Nodes[i].Worker.ID)
 		}
 	}
@@ -197,18 +197,18 @@
 			probe := *m
 			probe.snapshot.Gangs = append([]Gang(nil), m.snapshot.Gangs...)
 			id := fmt.Sprintf("probe-%s-%d", account, i)
-			probe.snapshot.Waiting = []Waiting{waitingJob(id, account, idempotentClass, g.Shape, 0)}
+			probe.snapshot.Waiting = []WaitingJob{waitingJob(id, account, idempotentClass, g.Shape, 0)}
 			for range 3 {
 				probe.plan()
 				probe.removeStopping()
 				// The account's other jobs could take the cell instead of the probe. That
 				// is allowed and not what is checked here.
-				probe.snapshot.Waiting = slices.DeleteFunc(probe.snapshot.Waiting, func(w Waiting) bool {
+				probe.snapshot.Waiting = slices.DeleteFunc(probe.snapshot.Waiting, func(w WaitingJob) bool {
 					return w.Job.Account == account && w.Job.ID != domain.JobID(id)
 				})
 			}
 			if !probe.isRunning(domain.JobID(id)) {
-				t.Fatalf("account %s can't reclaim %+v: held %+v", account, g.Shape, Make(probe.snapshot, probe.policy).Held)
+				t.Fatalf("account %s can't reclaim %+v: held %+v", account, g.Shape, MakePlan(probe.snapshot, probe.policy).Held)
 			}
 		}
 	}
@@ -309,7 +309,7 @@
 	}
 	for name, mutate := range mutants {
 		t.Run(name, func(t *testing.T) {
-			if !seeded.Catches(t, func(t *rapid.T) { runModel(t, mutate) }) {
+			if !seeded.FailsForAnySeed(t, func(t *rapid.T) { runModel(t, mutate) }) {
 				t.Fatal("the property does not detect this mutant")
 			}
 		})
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -1,5 +1,5 @@
 // Package scheduler decides which jobs of one data centre start, and which borrowers are
-// preempted for them. Make is a pure function of a Snapshot: no clock, no I/O, no
+// preempted for them. MakePlan is a pure function of a Snapshot: no clock, no I/O, no
 // goroutine. The caller checks a plan against the current state before applying it; a
 // stale plan may cost a reservation, but never breaks a guarantee.
 //
@@ -68,8 +68,8 @@
 	// Stopping gangs have been ordered to stop and still hold their resources.
 	Stopping bool
 	Started  time.Time
-	// Saved is the time of the last checkpoint, or Started.
-	Saved time.Time
+	// LastCheckpoint is the time of the last checkpoint, or Started.
+	LastCheckpoint time.Time
 	// Remaining is the expected time until the gang ends.
 	Remaining time.Duration
 }
@@ -78,8 +78,8 @@
 	return !g.Guaranteed && !g.Stopping && g.Class.Preemptible()
 }
 
-// Waiting is a job that waits to be placed.
-type Waiting struct {
+// WaitingJob is a job that waits to be placed.
+type WaitingJob struct {
 	Job   domain.Job
 	Class domain.Class
 	// Since is when the job was submitted.
@@ -98,7 +98,7 @@
 	Start time.Time
 }
 
-// Snapshot is the input of Make, which does not change it.
+// Snapshot is the input of MakePlan, which does not change it.
 type Snapshot struct {
 	Now        time.Time
 	DataCentre domain.DataCentre
@@ -111,7 +111,7 @@
 	Binding      guarantee.Binding
 	Reservations []Reservation
 	Gangs        []Gang
-	Waiting      []Waiting
+	Waiting      []WaitingJob
 }
 
 // Start is the start of a job on workers.
@@ -154,7 +154,7 @@
 	StartBy time.Time `json:"start_by,omitzero"`
 }
 
-// Plan holds the decisions of one call of Make.
+// Plan holds the decisions of one call of MakePlan.
 type Plan struct {
 	Binding      guarantee.Binding
 	Starts       []Start
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -34,8 +34,8 @@
 	FailFast bool `json:"fail_fast"`
 	// Truncate closes the connection in the middle of an answer.
 	Truncate bool `json:"truncate"`
-	// Swap answers with another request's id.
-	Swap bool `json:"swap"`
+	// SwapID answers with another request's id.
+	SwapID bool `json:"swap"`
 	// DropAfter does the work and closes the connection without an answer.
 	DropAfter bool `json:"drop_after"`
 	// Leaving refuses new work and announces in a header that the server is leaving.
@@ -67,9 +67,9 @@
 	b.faults = f
 }
 
-// Ran returns how often the work of each request was started. The keys are
+// RunCounts returns how often the work of each request was started. The keys are
 // "account/id".
-func (b *Backend) Ran() map[string]int {
+func (b *Backend) RunCounts() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string]int, len(b.runs))
@@ -86,9 +86,9 @@
 	return b.lastStart
 }
 
-// Answer returns the first line of the answer to a request. It is a hash of the
+// ExpectedAnswer returns the first line of the answer to a request. It is a hash of the
 // request, so callers can detect the answer to another one.
-func Answer(account, id string, body []byte) string {
+func ExpectedAnswer(account, id string, body []byte) string {
 	sum := sha256.Sum256(append([]byte(account+"/"+id+"/"), body...))
 	return hex.EncodeToString(sum[:]) + "\n"
 }
@@ -151,12 +151,12 @@
 	if faults.DropAfter {
 		panic(http.ErrAbortHandler)
 	}
-	if faults.Swap {
+	if faults.SwapID {
 		w.Header().Set(port.HeaderID, id+"-other")
 	}
 	var work Work
 	_ = json.Unmarshal(body, &work) // a body that can't be parsed has no size
-	first := Answer(r.Header.Get(port.HeaderAccount), id, body)
+	first := ExpectedAnswer(r.Header.Get(port.HeaderAccount), id, body)
 	w.Header().Set("Content-Type", "text/plain")
 	if work.Stream {
 		w.Header().Set("Trailer", port.HeaderEnd)
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -67,8 +67,8 @@
 	return out
 }
 
-// Running is a stand-in platform that serves over TCP.
-type Running struct {
+// Server is a stand-in platform that serves over TCP.
+type Server struct {
 	*Platform
 	Address string
 	servers []*http.Server
@@ -80,12 +80,12 @@
 
 // Start serves a fleet: the platform at address, and each backend server at the
 // same IP on a port chosen by the operating system.
-func Start(fleet Fleet, address string) (*Running, error) {
+func Start(fleet Fleet, address string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen on the platform's address; use another -listen address")
 	}
-	r := &Running{Address: listener.Addr().String()}
+	r := &Server{Address: listener.Addr().String()}
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
 	var workers []*Worker
@@ -104,7 +104,7 @@
 	return r, nil
 }
 
-func (r *Running) startBackends(fleet Fleet) ([]*Backend, error) {
+func (r *Server) startBackends(fleet Fleet) ([]*Backend, error) {
 	host, _, err := net.SplitHostPort(r.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "split the platform's address")
@@ -127,7 +127,7 @@
 	return out, nil
 }
 
-func (r *Running) serve(listener net.Listener, handler http.Handler) {
+func (r *Server) serve(listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	r.servers = append(r.servers, server)
 	r.serving.Add(1)
@@ -138,7 +138,7 @@
 }
 
 // Stop stops the stand-in.
-func (r *Running) Stop() {
+func (r *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	for _, server := range r.servers {
--- a/standin/log.go
+++ b/standin/log.go
@@ -17,8 +17,8 @@
 	Down bool `json:"down"`
 	// Slow delays every call.
 	Slow domain.Duration `json:"slow"`
-	// LoseAnswers is the number of appends that take effect but return an error.
-	LoseAnswers int `json:"lose_answers"`
+	// LoseResponses is the number of appends that take effect but return an error.
+	LoseResponses int `json:"lose_answers"`
 }
 
 // ErrLogDown is returned by all calls while LogFaults.Down is set.
@@ -111,8 +111,8 @@
 	s.truncate(l.Keep)
 	close(s.changed)
 	s.changed = make(chan struct{})
-	if l.faults.LoseAnswers > 0 {
-		l.faults.LoseAnswers--
+	if l.faults.LoseResponses > 0 {
+		l.faults.LoseResponses--
 		return 0, errors.New("connection reset")
 	}
 	return first, nil
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -169,7 +169,7 @@
 	if c.Boot != w.bootID() {
 		return "worker has restarted"
 	}
-	if c.Until.Std() <= w.now() && (c.Verb == port.VerbArm || c.Verb == port.VerbRelease) {
+	if c.ValidUntil.Std() <= w.now() && (c.Verb == port.VerbArm || c.Verb == port.VerbRelease) {
 		return "lease ended in transit"
 	}
 	w.maxToken = c.Token
@@ -197,7 +197,7 @@
 		w.finish(m)
 		return
 	}
-	if m.State.Live() && now > m.until && !w.faults.IgnoreLeases {
+	if m.State.HoldsResources() && now > m.until && !w.faults.IgnoreLeases {
 		m.State = port.TaskStopped
 	}
 }
@@ -221,7 +221,7 @@
 func (w *Worker) used() domain.Resources {
 	var used domain.Resources
 	for _, m := range w.members {
-		if m.State.Live() {
+		if m.State.HoldsResources() {
 			used = used.Add(m.PerTask.Times(m.Tasks))
 		}
 	}
@@ -233,22 +233,22 @@
 		return ""
 	}
 	need := c.PerTask.Times(c.Tasks)
-	if !need.Fits(w.Spec.Capacity.Sub(w.used())) {
+	if !need.FitsIn(w.Spec.Capacity.Sub(w.used())) {
 		return "resources are in use"
 	}
-	if c.Until.Std() <= w.now() {
+	if c.ValidUntil.Std() <= w.now() {
 		return "lease ended in transit"
 	}
 	w.members[c.Gang] = &memberState{
 		Member: port.Member{Gang: c.Gang, Members: c.Members, State: port.TaskReserved, Tasks: c.Tasks, PerTask: c.PerTask},
-		until:  c.Until.Std(),
+		until:  c.ValidUntil.Std(),
 	}
 	return ""
 }
 
 func (w *Worker) arm(c port.Command) string {
 	m, ok := w.members[c.Gang]
-	if !ok || !m.State.Live() {
+	if !ok || !m.State.HoldsResources() {
 		return "nothing reserved"
 	}
 	if m.State != port.TaskReserved {
@@ -266,7 +266,7 @@
 
 func (w *Worker) release(c port.Command) string {
 	m, ok := w.members[c.Gang]
-	if !ok || !m.State.Live() {
+	if !ok || !m.State.HoldsResources() {
 		return "nothing armed"
 	}
 	if m.State == port.TaskReserved {
@@ -282,8 +282,8 @@
 
 func (w *Worker) renew(c port.Command) string {
 	for _, gang := range c.Gangs {
-		if m, ok := w.members[gang]; ok && m.State.Live() {
-			m.until = max(m.until, c.Until.Std())
+		if m, ok := w.members[gang]; ok && m.State.HoldsResources() {
+			m.until = max(m.until, c.ValidUntil.Std())
 		}
 	}
 	return ""
@@ -307,11 +307,11 @@
 		// Recorded so that a reserve that arrives later has no effect.
 		w.members[c.Gang] = &memberState{
 			Member: port.Member{Gang: c.Gang, State: port.TaskStopped},
-			until:  c.Until.Std(),
+			until:  c.ValidUntil.Std(),
 		}
 		return ""
 	}
-	if m.State.Live() {
+	if m.State.HoldsResources() {
 		m.State = port.TaskStopped
 	}
 	return ""
@@ -322,17 +322,17 @@
 	if !ok {
 		return ""
 	}
-	if m.State.Live() {
+	if m.State.HoldsResources() {
 		return "still live"
 	}
-	m.until = max(m.until, c.Until.Std())
+	m.until = max(m.until, c.ValidUntil.Std())
 	m.hidden = true
 	return ""
 }
 
 func (w *Worker) report(refused string) port.Report {
 	r := port.Report{
-		Refused: refused, Seen: w.maxToken,
+		Refused: refused, HighestToken: w.maxToken,
 		Boot: w.bootID(), Clock: domain.Duration(w.now()),
 		Members: []port.Member{},
 	}
--- a/state/follower.go
+++ b/state/follower.go
@@ -14,8 +14,8 @@
 type Follower struct {
 	Log    port.Log
 	Stream port.Stream
-	// From returns the offset to read next.
-	From func() int64
+	// NextOffset returns the offset to read next.
+	NextOffset func() int64
 	// Apply applies one entry.
 	Apply func(port.Entry)
 	// OnTruncated is called when entries before oldest are gone from the log; it
@@ -50,7 +50,7 @@
 }
 
 func (f *Follower) readOnce(ctx context.Context) error {
-	from := f.From()
+	from := f.NextOffset()
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	page, err := f.Log.Read(readCtx, f.Stream, from)
 	cancel()
@@ -61,7 +61,7 @@
 		if err := f.OnTruncated(ctx, page.Oldest); err != nil {
 			return err
 		}
-		if f.From() > page.Next {
+		if f.NextOffset() > page.Next {
 			return nil // the snapshot covers the entries that were read
 		}
 	}
--- a/state/image_test.go
+++ b/state/image_test.go
@@ -42,7 +42,7 @@
 		for _, id := range jobIDs {
 			a, _ := plain.Get(id)
 			b, ok := after.Get(id)
-			if !ok || a.State != b.State || a.Gang != b.Gang || a.CancelRequested != b.CancelRequested {
+			if !ok || a.State != b.State || a.Incarnation != b.Incarnation || a.CancelRequested != b.CancelRequested {
 				t.Fatalf("job %s: %+v in order, %+v with an image after %d of %d records", id, a, b, cut, len(late))
 			}
 		}
--- a/state/jobs.go
+++ b/state/jobs.go
@@ -19,19 +19,19 @@
 	Job    domain.Job      `json:"job"`
 	Digest string          `json:"digest"`
 	State  domain.JobState `json:"state"`
-	// Gang identifies the newest attempt; its Attempt is 0 before the first.
-	Gang       domain.Incarnation `json:"gang"`
-	Placement  domain.Placement   `json:"placement,omitempty"`
-	Guaranteed bool               `json:"guaranteed,omitempty"`
+	// Incarnation identifies the newest attempt; its Attempt is 0 before the first.
+	Incarnation domain.Incarnation `json:"gang"`
+	Placement   domain.Placement   `json:"placement,omitempty"`
+	Guaranteed  bool               `json:"guaranteed,omitempty"`
 	// CancelRequested is set once the caller has cancelled the job.
 	CancelRequested bool              `json:"cancel_requested,omitempty"`
 	Cause           string            `json:"cause,omitempty"`
 	Result          string            `json:"result,omitempty"`
 	FailedOn        []domain.WorkerID `json:"failed_on,omitempty"`
-	// Contended is set when an attempt was started before the log recorded the
+	// MayOverlap is set when an attempt was started before the log recorded the
 	// end of the previous one: both may be running, so a job that must not run
 	// twice is not started again.
-	Contended bool `json:"contended,omitempty"`
+	MayOverlap bool `json:"contended,omitempty"`
 	// Failures counts the attempts whose tasks failed.
 	Failures int `json:"failures,omitempty"`
 	// Crashes counts the attempts that ended with a worker's crash.
@@ -156,9 +156,9 @@
 	case KindCancel:
 		return decodeAndApply(record, func(c Cancel) { j.applyOrDefer(c.Job, record, func() { j.applyCancel(c) }) })
 	case KindStarted:
-		return decodeAndApply(record, func(s Started) { j.applyOrDefer(s.Gang.Job, record, func() { j.applyStarted(s) }) })
+		return decodeAndApply(record, func(s Started) { j.applyOrDefer(s.Incarnation.Job, record, func() { j.applyStarted(s) }) })
 	case KindRequeued:
-		return decodeAndApply(record, func(r Requeued) { j.applyOrDefer(r.Gang.Job, record, func() { j.applyRequeued(r) }) })
+		return decodeAndApply(record, func(r Requeued) { j.applyOrDefer(r.Incarnation.Job, record, func() { j.applyRequeued(r) }) })
 	case KindEnded:
 		return decodeAndApply(record, func(e Ended) { j.applyOrDefer(e.Job, record, func() { j.applyEnded(e) }) })
 	case KindBinding:
@@ -229,27 +229,27 @@
 // applyStarted ignores an attempt that is not newer than the last one seen, so
 // that a repeated append does not restore an old attempt.
 func (j *Jobs) applyStarted(s Started) {
-	status, ok := j.active[s.Gang.Job]
-	if !ok || !s.Gang.Newer(status.Gang) {
+	status, ok := j.active[s.Incarnation.Job]
+	if !ok || !s.Incarnation.Newer(status.Incarnation) {
 		return
 	}
 	if status.State == domain.JobRunning {
-		status.Contended = true
+		status.MayOverlap = true
 	}
-	status.Gang = s.Gang
+	status.Incarnation = s.Incarnation
 	status.State = domain.JobRunning
 	status.Placement = s.Placement
 	status.Guaranteed = s.Guaranteed
 	status.Started = s.At
-	j.recordChange(s.Gang.Job)
+	j.recordChange(s.Incarnation.Job)
 }
 
 func (j *Jobs) applyRequeued(r Requeued) {
-	status, ok := j.active[r.Gang.Job]
-	if !ok || status.Gang.Newer(r.Gang) || (status.Gang == r.Gang && status.State == domain.JobWaiting) {
+	status, ok := j.active[r.Incarnation.Job]
+	if !ok || status.Incarnation.Newer(r.Incarnation) || (status.Incarnation == r.Incarnation && status.State == domain.JobWaiting) {
 		return
 	}
-	status.Gang = r.Gang
+	status.Incarnation = r.Incarnation
 	status.State = domain.JobWaiting
 	status.Placement = nil
 	status.Cause = r.Cause
@@ -260,7 +260,7 @@
 	if r.Crashed {
 		status.Crashes++
 	}
-	j.recordChange(r.Gang.Job)
+	j.recordChange(r.Incarnation.Job)
 }
 
 func (j *Jobs) applyEnded(e Ended) {
@@ -291,7 +291,7 @@
 // attempt's own record has been folded.
 func (j *Jobs) MayRun(gang domain.Incarnation) bool {
 	status, ok := j.Get(gang.Job)
-	return ok && status.State == domain.JobRunning && status.Gang == gang && !status.Contended
+	return ok && status.State == domain.JobRunning && status.Incarnation == gang && !status.MayOverlap
 }
 
 // Image is the whole state in the form that is written to snapshots and sent to
@@ -338,7 +338,7 @@
 	j.endedOrder = nil
 	for _, status := range image.Jobs {
 		j.jobs[status.Job.ID] = &status
-		if status.State.Final() {
+		if status.State.IsFinal() {
 			j.endedOrder = append(j.endedOrder, status.Job.ID)
 			continue
 		}
--- a/state/journal.go
+++ b/state/journal.go
@@ -103,10 +103,10 @@
 	}
 }
 
-// Keep queues a record whose append is repeated until it succeeds, and returns a
+// AppendWithRetry queues a record whose append is repeated until it succeeds, and returns a
 // channel that is closed then, or when the journal closes. The record may end up
 // in the log twice, which does no harm because folding is idempotent.
-func (j *Journal) Keep(stream port.Stream, record port.Record) (<-chan struct{}, error) {
+func (j *Journal) AppendWithRetry(stream port.Stream, record port.Record) (<-chan struct{}, error) {
 	it, err := j.enqueue(stream, record, true)
 	if err != nil {
 		return nil, err
@@ -162,9 +162,9 @@
 	return ErrNotSent
 }
 
-// Seen reports that a record was read from the log, so that an append whose
+// ConfirmRead reports that a record was read from the log, so that an append whose
 // answer was lost is not repeated.
-func (j *Journal) Seen(stream port.Stream, entry port.Entry) {
+func (j *Journal) ConfirmRead(stream port.Stream, entry port.Entry) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	q, ok := j.queues[stream]
--- a/state/journal_test.go
+++ b/state/journal_test.go
@@ -45,7 +45,7 @@
 
 // Guards against results that contradict the log, whatever its faults: a nil
 // error means that the record is there, ErrNotSent that it never will be, and a
-// record given to Keep always gets there.
+// record given to AppendWithRetry always gets there.
 func TestJournalResultsMatchLogContents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var s journalScenario
@@ -54,7 +54,7 @@
 			s.at = append(s.at, time.Duration(rapid.IntRange(0, 3000).Draw(rt, "at"))*time.Millisecond)
 		}
 		s.faults = standin.LogFaults{
-			Down: rapid.Bool().Draw(rt, "down"), LoseAnswers: rapid.IntRange(0, 5).Draw(rt, "lose"),
+			Down: rapid.Bool().Draw(rt, "down"), LoseResponses: rapid.IntRange(0, 5).Draw(rt, "lose"),
 			Slow: domain.Duration(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "slow")) * time.Millisecond),
 		}
 		s.faultsEnd = time.Duration(rapid.IntRange(0, 20_000).Draw(rt, "heal")) * time.Millisecond
@@ -103,7 +103,7 @@
 func appendOrKeep(journal *Journal, id string, kept bool) error {
 	record := port.Record{ID: id, Kind: "k"}
 	if kept {
-		_, err := journal.Keep(stream, record)
+		_, err := journal.AppendWithRetry(stream, record)
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -118,7 +118,7 @@
 		journal := NewJournal(log, DefaultJournalOptions())
 		const each, seconds = 5000, 2
 		for i := range each * seconds {
-			if _, err := journal.Keep(stream, port.Record{ID: fmt.Sprint(i), Kind: "k"}); err != nil {
+			if _, err := journal.AppendWithRetry(stream, port.Record{ID: fmt.Sprint(i), Kind: "k"}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second / each)
@@ -138,17 +138,17 @@
 func TestRecordThatWasReadIsNotAppendedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := standin.NewLog(0)
-		log.SetFaults(standin.LogFaults{LoseAnswers: 1})
+		log.SetFaults(standin.LogFaults{LoseResponses: 1})
 		journal := NewJournal(log, DefaultJournalOptions())
 		record := port.Record{ID: "r", Kind: "k"}
-		done, err := journal.Keep(stream, record)
+		done, err := journal.AppendWithRetry(stream, record)
 		if err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
 		time.Sleep(time.Nanosecond) // lets the append run whose answer is lost
 		synctest.Wait()
-		journal.Seen(stream, port.Entry{Offset: 0, Record: record})
+		journal.ConfirmRead(stream, port.Entry{Offset: 0, Record: record})
 		<-done
 		time.Sleep(time.Minute)
 		journal.Close()
@@ -176,7 +176,7 @@
 		for _, id := range jobIDs {
 			a, okA := plain.Get(id)
 			b, okB := repeated.Get(id)
-			if okA != okB || a.State != b.State || a.Gang != b.Gang {
+			if okA != okB || a.State != b.State || a.Incarnation != b.Incarnation {
 				t.Fatalf("job %s: %+v without repeats, %+v with", id, a, b)
 			}
 		}
@@ -205,7 +205,7 @@
 		for _, id := range jobIDs {
 			a, _ := plain.Get(id)
 			b, ok := late.Get(id)
-			if !ok || a.State != b.State || a.Gang != b.Gang || a.CancelRequested != b.CancelRequested {
+			if !ok || a.State != b.State || a.Incarnation != b.Incarnation || a.CancelRequested != b.CancelRequested {
 				t.Fatalf("job %s: %+v in order, %+v with a late acceptance", id, a, b)
 			}
 		}
@@ -239,9 +239,9 @@
 		case "start":
 			attempts[id]++
 			gang.Attempt++
-			add(KindStarted, Started{Gang: gang})
+			add(KindStarted, Started{Incarnation: gang})
 		case "requeue":
-			add(KindRequeued, Requeued{Gang: gang})
+			add(KindRequeued, Requeued{Incarnation: gang})
 		case "cancel":
 			add(KindCancel, Cancel{Job: id})
 		case "end":
--- a/state/records.go
+++ b/state/records.go
@@ -54,16 +54,16 @@
 // Started records that an attempt has reserved its workers and may run from
 // now on.
 type Started struct {
-	Gang       domain.Incarnation `json:"gang"`
-	Placement  domain.Placement   `json:"placement"`
-	Guaranteed bool               `json:"guaranteed,omitempty"`
-	At         time.Time          `json:"at"`
+	Incarnation domain.Incarnation `json:"gang"`
+	Placement   domain.Placement   `json:"placement"`
+	Guaranteed  bool               `json:"guaranteed,omitempty"`
+	At          time.Time          `json:"at"`
 }
 
 // Requeued records that an attempt is over and its job waits again.
 type Requeued struct {
-	Gang  domain.Incarnation `json:"gang"`
-	Cause string             `json:"cause"`
+	Incarnation domain.Incarnation `json:"gang"`
+	Cause       string             `json:"cause"`
 	// FailedOn lists the workers on which the job's tasks failed.
 	FailedOn []domain.WorkerID `json:"failed_on,omitempty"`
 	// Crashed is set if the attempt ended with a worker's crash.
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -89,8 +89,8 @@
 	return m
 }
 
-// Count counts one event, and its reason if it has one.
-func (m *Metrics) Count(event, reason string) {
+// CountEvent counts one event, and its reason if it has one.
+func (m *Metrics) CountEvent(event, reason string) {
 	if m == nil {
 		return
 	}
@@ -124,8 +124,8 @@
 	m.latencies.WithLabelValues(string(span)).Observe(took.Seconds())
 }
 
-// Set sets a gauge.
-func (m *Metrics) Set(quantity string, value float64) {
+// SetGauge sets a gauge.
+func (m *Metrics) SetGauge(quantity string, value float64) {
 	if m == nil {
 		return
 	}
--- a/workload/book.go
+++ b/workload/book.go
@@ -23,8 +23,8 @@
 // ProgressKey returns the key of a job's progress.
 func ProgressKey(id JobID) string { return progressPrefix + string(id) }
 
-// IDOfKey returns the job that a record's key names; the key has to be one of the above.
-func IDOfKey(key string) JobID { return JobID(key[2:]) }
+// JobIDOfKey returns the job that a record's key names; the key has to be one of the above.
+func JobIDOfKey(key string) JobID { return JobID(key[2:]) }
 
 // Entry is the book's state of one job. Job is nil until the acceptance has been read, and on
 // instances that do not read acceptances.
@@ -37,7 +37,7 @@
 	Cancelled bool
 	// The next three are the summary fields of the progress.
 	State   State
-	Begun   bool
+	Started bool
 	EndedMS int64
 	// Whether the job has ended and none of its runs may still be running.
 	Settled bool
@@ -59,7 +59,7 @@
 	mu      sync.Mutex
 	entries map[JobID]*Entry
 	pending map[string]int
-	// changed are the jobs that were accepted or cancelled since the last call of Fresh.
+	// changed are the jobs that were accepted or cancelled since the last call of TakeChanged.
 	changed map[JobID]bool
 	// unpublished are the jobs whose published status differs from the book's.
 	unpublished map[JobID]bool
@@ -71,11 +71,11 @@
 	return &Book{entries: map[JobID]*Entry{}, pending: map[string]int{}, changed: map[JobID]bool{}, unpublished: map[JobID]bool{}, notify: make(chan struct{}, 1)}
 }
 
-// Wake returns a channel that is signalled when Fresh has new jobs.
-func (b *Book) Wake() <-chan struct{} { return b.notify }
+// Changes returns a channel that is signalled when TakeChanged has new jobs.
+func (b *Book) Changes() <-chan struct{} { return b.notify }
 
-// Fresh returns the jobs that were accepted or cancelled since the last call.
-func (b *Book) Fresh() []JobID {
+// TakeChanged returns the jobs that were accepted or cancelled since the last call.
+func (b *Book) TakeChanged() []JobID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]JobID, 0, len(b.changed))
@@ -163,7 +163,7 @@
 		if len(accepted)+len(progress) >= limit {
 			break
 		}
-		if !e.State.Final() || e.EndedMS == 0 {
+		if !e.State.IsFinal() || e.EndedMS == 0 {
 			continue
 		}
 		age := time.Duration(nowMS-e.EndedMS) * time.Millisecond
@@ -206,7 +206,7 @@
 
 type progressHead struct {
 	State   State             `json:"state"`
-	Begun   bool              `json:"begun"`
+	Started bool              `json:"begun"`
 	EndedMS int64             `json:"ended"`
 	Open    []json.RawMessage `json:"open"`
 }
@@ -223,8 +223,8 @@
 	}
 	b.update(id, func(e *Entry) {
 		e.badProgress = false
-		e.advance(head.State, head.Begun, head.EndedMS)
-		e.Settled = head.State.Final() && len(head.Open) == 0
+		e.advance(head.State, head.Started, head.EndedMS)
+		e.Settled = head.State.IsFinal() && len(head.Open) == 0
 		e.Progress = value
 		e.ProgressOffset = offset
 	})
@@ -246,7 +246,7 @@
 }
 
 func (b *Book) adjustPending(e *Entry, by int) {
-	if e.Accepted && !e.Begun && !e.Cancelled && !e.State.Final() {
+	if e.Accepted && !e.Started && !e.Cancelled && !e.State.IsFinal() {
 		b.pending[e.Queue] += by
 	}
 }
@@ -262,11 +262,11 @@
 	return *e, true
 }
 
-// Complete reports whether the acceptance and the progress of every unfinished job that a planner
+// IsComplete reports whether the acceptance and the progress of every unfinished job that a planner
 // has worked on have been read. States, progress and acceptances are read from separate topics. A
 // planner without a job's acceptance would treat its runs as unregistered, and one without its
 // progress would restart it.
-func (b *Book) Complete() bool {
+func (b *Book) IsComplete() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.entries {
@@ -279,47 +279,47 @@
 
 // isComplete reports whether no record of the job is still to be read.
 func (e *Entry) isComplete() bool {
-	if e.State.Final() || e.Unreadable() {
+	if e.State.IsFinal() || e.IsUnreadable() {
 		return true
 	}
 	recorded := len(e.Progress) > 0
-	return (e.Job != nil || !recorded) && (recorded || !e.Begun)
+	return (e.Job != nil || !recorded) && (recorded || !e.Started)
 }
 
 // OpenJobCounts counts the jobs of a book that have not ended.
 type OpenJobCounts struct {
-	// Open counts all of them, Unaccepted those whose acceptance has not been read, Unrecorded
-	// those that have started and whose progress has not been read.
-	Open, Unaccepted, Unrecorded int
+	// Open counts all of them, MissingAcceptance those whose acceptance has not been read,
+	// MissingProgress those that have started and whose progress has not been read.
+	Open, MissingAcceptance, MissingProgress int
 }
 
-// Census counts the jobs that a planner would take over.
-func (b *Book) Census() OpenJobCounts {
+// CountOpen counts the jobs that a planner would take over.
+func (b *Book) CountOpen() OpenJobCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := OpenJobCounts{}
 	for _, e := range b.entries {
-		if e.State.Final() || (!e.Accepted && len(e.Progress) == 0) {
+		if e.State.IsFinal() || (!e.Accepted && len(e.Progress) == 0) {
 			continue
 		}
 		counts.Open++
 		if e.Job == nil {
-			counts.Unaccepted++
+			counts.MissingAcceptance++
 		}
-		if e.Begun && len(e.Progress) == 0 {
-			counts.Unrecorded++
+		if e.Started && len(e.Progress) == 0 {
+			counts.MissingProgress++
 		}
 	}
 	return counts
 }
 
-// Unreadable reports whether the newest record of the job's acceptance or progress could not be
+// IsUnreadable reports whether the newest record of the job's acceptance or progress could not be
 // read.
-func (e *Entry) Unreadable() bool { return e.badAcceptance || e.badProgress }
+func (e *Entry) IsUnreadable() bool { return e.badAcceptance || e.badProgress }
 
-// Shown returns the state that callers see.
-func (e Entry) Shown() State {
-	if e.Cancelled && !e.State.Final() {
+// VisibleState returns the state that callers see.
+func (e Entry) VisibleState() State {
+	if e.Cancelled && !e.State.IsFinal() {
 		return Cancelled
 	}
 	return e.State
@@ -332,8 +332,8 @@
 	return b.pending[queue]
 }
 
-// All calls f with a copy of the entry of each job whose acceptance has been read.
-func (b *Book) All(f func(JobID, Entry)) {
+// ForEach calls f with a copy of the entry of each job whose acceptance has been read.
+func (b *Book) ForEach(f func(JobID, Entry)) {
 	b.mu.Lock()
 	entries := make(map[JobID]Entry, len(b.entries))
 	for id, e := range b.entries {
--- a/workload/book_test.go
+++ b/workload/book_test.go
@@ -37,8 +37,8 @@
 	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
 	fold(t, b, 1, CancelledKey("a"), []byte("{}"))
 	fold(t, b, 2, AcceptedKey("a"), acceptance(t, "a", "q"))
-	if e, _ := b.Get("a"); e.Shown() != Cancelled {
-		t.Fatalf("the visible state is %s", e.Shown())
+	if e, _ := b.Get("a"); e.VisibleState() != Cancelled {
+		t.Fatalf("the visible state is %s", e.VisibleState())
 	}
 }
 
@@ -80,8 +80,8 @@
 			}
 		}
 		want := 0
-		b.All(func(_ JobID, e Entry) {
-			if !e.Begun && !e.Cancelled && !e.State.Final() {
+		b.ForEach(func(_ JobID, e Entry) {
+			if !e.Started && !e.Cancelled && !e.State.IsFinal() {
 				want++
 			}
 		})
--- a/workload/control/adopt.go
+++ b/workload/control/adopt.go
@@ -24,7 +24,7 @@
 func (c *Core) adoptJob(id workload.JobID, e workload.Entry) {
 	progress, problem := adoptableProgress(e)
 	if problem != "" {
-		c.emit(Note{Event: EventProgressUnreadable, Job: id, Why: problem})
+		c.emit(Event{Name: EventProgressUnreadable, Job: id, Reason: problem})
 		return
 	}
 	if progress == nil {
@@ -32,12 +32,12 @@
 		return
 	}
 	j := &job{Job: e.Job, progress: progress, sequence: len(c.jobs), waitingSince: map[decide.UnitKey]time.Time{}, avoidedWorkers: map[string]bool{}, rates: map[decide.UnitKey]map[int]rating{}, waitReasons: map[decide.UnitKey]decide.Reason{}}
-	j.inherited = progress.Begun
+	j.inherited = progress.Started
 	j.suspected = j.hasSuspect()
 	c.arrivals.record()
 	c.addJob(j)
 	c.adoptPlacedTasks(j)
-	if progress.State.Final() {
+	if progress.State.IsFinal() {
 		// The job's end is in the log, but the resulting stop orders may never have been sent.
 		c.stopAllRuns(j)
 		c.finalize(j)
@@ -50,11 +50,11 @@
 func adoptableProgress(e workload.Entry) (progress *workload.Progress, problem string) {
 	recorded := len(e.Progress) > 0
 	switch {
-	case e.Unreadable():
+	case e.IsUnreadable():
 		return nil, "the newest record of the job can't be read"
-	case !recorded && (e.State.Final() || e.Job.Reduced):
+	case !recorded && (e.State.IsFinal() || e.Job.Reduced):
 		return nil, ""
-	case !recorded && e.Begun:
+	case !recorded && e.Started:
 		return nil, "the job was started, but its progress record is missing"
 	case !recorded:
 		return workload.NewProgress(), ""
@@ -63,10 +63,10 @@
 	if err := json.Unmarshal(e.Progress, progress); err != nil {
 		return nil, err.Error()
 	}
-	if progress.State.Final() && len(progress.Open) == 0 {
+	if progress.State.IsFinal() && len(progress.Open) == 0 {
 		return nil, ""
 	}
-	if err := progress.Check(e.Job); err != nil {
+	if err := progress.Validate(e.Job); err != nil {
 		return nil, err.Error()
 	}
 	return progress, ""
@@ -78,7 +78,7 @@
 			for i := range o.Steps[s] {
 				t := &o.Steps[s][i]
 				if t.Phase == workload.Placed {
-					c.addRun(j, workload.TaskID{Job: j.ID, K: o.K, Step: s, Index: i}, t).assumeThrottled()
+					c.addRun(j, workload.TaskID{Job: j.ID, Occurrence: o.Number, Step: s, Index: i}, t).assumeThrottled()
 				}
 			}
 		}
--- a/workload/control/advice.go
+++ b/workload/control/advice.go
@@ -14,15 +14,15 @@
 	Key     decide.UnitKey
 	Step    string
 	Workers []string
-	// Takes is the expected response time of the service.
-	Takes time.Duration
+	// ExpectedTime is the expected response time of the service.
+	ExpectedTime time.Duration
 }
 
 // AdviceAnswer is the response to an AdviceOrder. OK is false if there was none.
 type AdviceAnswer struct {
 	OK bool
-	// Good maps the workers that may run the step to their tickets.
-	Good     map[string]string
+	// Tickets maps the workers that may run the step to their tickets.
+	Tickets  map[string]string
 	ValidFor time.Duration
 }
 
@@ -63,7 +63,7 @@
 
 // restrictToAllowed restricts a unit to the workers that its queue's policy is known to allow,
 // and queues a call for advice if those do not have enough free capacity.
-func (c *Core) restrictToAllowed(u *decide.Unit, terms workload.Terms, now time.Time) {
+func (c *Core) restrictToAllowed(u *decide.Unit, terms workload.QueueSettings, now time.Time) {
 	if terms.Advice == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 			continue
 		}
 		u.Allowed[id] = true
-		capacity += w.freeCapacity().Count(u.Step.Counted(), len(u.Indexes))
+		capacity += w.freeCapacity().Count(u.Step.CapacityNeed(), len(u.Indexes))
 	}
 	if capacity < len(u.Indexes) {
 		c.adviceWanted = append(c.adviceWanted, u)
@@ -105,14 +105,14 @@
 func (w *worker) freeCapacity() workload.Resources {
 	free := w.Capacity
 	for _, r := range w.runs {
-		free = free.Sub(r.step.Counted())
+		free = free.Sub(r.step.CapacityNeed())
 	}
 	return free
 }
 
-// Ask returns the next call for advice. ok is false while a call is in flight or if none is
-// needed. The service accepts one call at a time from each caller.
-func (c *Core) Ask(now time.Time) (AdviceOrder, bool) {
+// NextAdviceOrder returns the next call for advice. ok is false while a call is in flight or if
+// none is needed. The service accepts one call at a time from each caller.
+func (c *Core) NextAdviceOrder(now time.Time) (AdviceOrder, bool) {
 	if c.adviceInFlight {
 		return AdviceOrder{}, false
 	}
@@ -130,10 +130,10 @@
 		terms := c.terms(j).Advice
 		expected := time.Duration(0)
 		if terms != nil {
-			expected = time.Duration(terms.DecideMS+terms.EachMS*int64(len(workers))) * time.Millisecond
+			expected = time.Duration(terms.DecideMS+terms.PerWorkerMS*int64(len(workers))) * time.Millisecond
 		}
-		step := workload.TaskID{Job: u.Key.Job, K: u.Key.K, Step: u.Key.Step}.StepName()
-		return AdviceOrder{Key: u.Key, Step: step, Workers: workers, Takes: expected}, true
+		step := workload.TaskID{Job: u.Key.Job, Occurrence: u.Key.Occurrence, Step: u.Key.Step}.StepID()
+		return AdviceOrder{Key: u.Key, Step: step, Workers: workers, ExpectedTime: expected}, true
 	}
 	return AdviceOrder{}, false
 }
@@ -152,10 +152,10 @@
 		if u.Step.Label != "" && !w.labels[u.Step.Label] {
 			continue
 		}
-		if n := w.Capacity.Count(u.Step.Counted(), len(u.Indexes)); n == 0 {
+		if n := w.Capacity.Count(u.Step.CapacityNeed(), len(u.Indexes)); n == 0 {
 			continue
 		}
-		capacity[id] = w.freeCapacity().Count(u.Step.Counted(), len(u.Indexes))
+		capacity[id] = w.freeCapacity().Count(u.Step.CapacityNeed(), len(u.Indexes))
 		out = append(out, id)
 	}
 	sort.SliceStable(out, func(x, y int) bool {
@@ -178,27 +178,27 @@
 	return len(workers)
 }
 
-// Advised handles the answer to a call that was sent at the given time.
-func (c *Core) Advised(order AdviceOrder, answer AdviceAnswer, sent, now time.Time) {
+// HandleAdvice handles the answer to a call that was sent at the given time.
+func (c *Core) HandleAdvice(order AdviceOrder, answer AdviceAnswer, sent, now time.Time) {
 	c.adviceInFlight = false
 	a := c.advice[order.Key]
 	if a == nil {
 		return
 	}
 	if !answer.OK {
-		c.emit(Note{Event: EventAdviceUnanswered, Job: order.Key.Job, Task: order.Step})
+		c.emit(Event{Name: EventAdviceUnanswered, Job: order.Key.Job, Task: order.Step})
 		a.notBefore = now.Add(adviceRetryPause)
 		return
 	}
 	until := sent.Add(time.Duration(ticketShare * float64(answer.ValidFor)))
 	for _, id := range order.Workers {
-		text, allowed := answer.Good[id]
+		text, allowed := answer.Tickets[id]
 		a.allowed[id] = allowed
 		if allowed {
 			a.tickets[id] = ticket{text, until}
 		}
 	}
-	c.emit(Note{Event: EventAdviceTaken, Job: order.Key.Job, Task: order.Step, Detail: fmt.Sprintf("%d of %d", len(answer.Good), len(order.Workers))})
+	c.emit(Event{Name: EventAdviceTaken, Job: order.Key.Job, Task: order.Step, Detail: fmt.Sprintf("%d of %d", len(answer.Tickets), len(order.Workers))})
 }
 
 // ticketFor returns the ticket for starting a run.
--- a/workload/control/advice_test.go
+++ b/workload/control/advice_test.go
@@ -23,13 +23,13 @@
 		list[i].Capacity.MilliCPU = 8000
 		list[i].Capacity.MemoryMiB = 8000
 	}
-	c.List(list, at)
+	c.SetWorkers(list, at)
 	for _, l := range list {
-		c.Held(control.HoldOrder{Worker: l.ID, Token: 1}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: l.ClockMS}, at, at)
+		c.HandleRenewal(control.RenewalOrder{Worker: l.ID, Token: 1}, control.RenewalAnswer{Result: control.Accepted, ClockMS: l.ClockMS}, at, at)
 	}
 	c.Adopt(jobA, workload.Entry{Job: &workload.Job{
 		ID: jobA, Steps: []workload.Step{step},
-		Terms: workload.Terms{Attempts: 3, Stretch: 3, TargetMS: 60_000, Advice: &workload.Advice{DecideMS: 100, EachMS: 10, ValidMS: 2000}},
+		QueueSettings: workload.QueueSettings{MaxAttempts: 3, Stretch: 3, TargetMS: 60_000, Advice: &workload.Advice{DecideMS: 100, PerWorkerMS: 10, ValidMS: 2000}},
 	}})
 	return c
 }
@@ -49,7 +49,7 @@
 			good[id] = "ticket of " + id
 		}
 	}
-	c.Advised(o, control.AdviceAnswer{OK: true, Good: good, ValidFor: 2 * time.Second}, at, at)
+	c.HandleAdvice(o, control.AdviceAnswer{OK: true, Tickets: good, ValidFor: 2 * time.Second}, at, at)
 }
 
 func TestAdvisedStepStartsOnlyOnAllowedWorkers(t *testing.T) {
@@ -58,11 +58,11 @@
 	if orders := round(c, at); len(orders) != 0 {
 		t.Fatalf("%d tasks were started before any advice", len(orders))
 	}
-	o, ok := c.Ask(at)
-	if !ok || o.Step != string(jobA)+".0.0" || len(o.Workers) != 5 || o.Takes != 150*time.Millisecond {
+	o, ok := c.NextAdviceOrder(at)
+	if !ok || o.Step != string(jobA)+".0.0" || len(o.Workers) != 5 || o.ExpectedTime != 150*time.Millisecond {
 		t.Fatalf("call %+v, %t: want 5 workers, which have capacity for twice the step", o, ok)
 	}
-	if _, twice := c.Ask(at); twice {
+	if _, twice := c.NextAdviceOrder(at); twice {
 		t.Fatal("two concurrent calls")
 	}
 	allow(c, o, at)
@@ -83,7 +83,7 @@
 	round(c, at)
 	called := map[string]bool{}
 	for range 3 {
-		o, ok := c.Ask(at)
+		o, ok := c.NextAdviceOrder(at)
 		if !ok {
 			break
 		}
@@ -108,17 +108,17 @@
 	at := time.Unix(1000, 0)
 	c := advisedCore(1, at, workload.Step{Count: 2, Need: need(8), EstimateMS: 1000})
 	round(c, at)
-	o, _ := c.Ask(at)
+	o, _ := c.NextAdviceOrder(at)
 	allow(c, o, at)
 	first := round(c, at)
 	if len(first) != 1 {
 		t.Fatalf("%d starts, want 1", len(first))
 	}
-	c.Started(first[0], control.Answer{Verdict: control.NoTicket, ClockMS: 1000}, at)
+	c.HandleStartAnswer(first[0], control.Answer{Result: control.NoTicket, ClockMS: 1000}, at)
 	if orders := round(c, at); len(orders) != 0 {
 		t.Fatal("started again with the ticket that was refused")
 	}
-	o, ok := c.Ask(at)
+	o, ok := c.NextAdviceOrder(at)
 	if !ok {
 		t.Fatal("no call for a new ticket after one was refused")
 	}
@@ -128,7 +128,7 @@
 	if orders := round(c, late); len(orders) != 0 {
 		t.Fatal("started with a ticket that is about to expire")
 	}
-	if _, ok := c.Ask(late); !ok {
+	if _, ok := c.NextAdviceOrder(late); !ok {
 		t.Fatal("no call for a new ticket before one expires")
 	}
 }
@@ -137,12 +137,12 @@
 	at := time.Unix(1000, 0)
 	c := advisedCore(2, at, workload.Step{Count: 1, Need: need(1), EstimateMS: 1000})
 	round(c, at)
-	o, _ := c.Ask(at)
-	c.Advised(o, control.AdviceAnswer{}, at, at)
-	if _, ok := c.Ask(at); ok {
+	o, _ := c.NextAdviceOrder(at)
+	c.HandleAdvice(o, control.AdviceAnswer{}, at, at)
+	if _, ok := c.NextAdviceOrder(at); ok {
 		t.Fatal("called again without a pause")
 	}
-	if _, ok := c.Ask(at.Add(time.Second)); !ok {
+	if _, ok := c.NextAdviceOrder(at.Add(time.Second)); !ok {
 		t.Fatal("not called again after a second")
 	}
 }
--- a/workload/control/availability.go
+++ b/workload/control/availability.go
@@ -27,14 +27,14 @@
 			running++
 		}
 	}
-	return step.MayMiss - (step.Count - running)
+	return step.MaxUnavailable - (step.Count - running)
 }
 
 // reportMaxAge is the age at which a worker's report of a run is no longer used.
-func (c *Core) reportMaxAge() time.Duration { return 2 * c.bounds.Wait }
+func (c *Core) reportMaxAge() time.Duration { return 2 * c.bounds.PollWait }
 
 // hasBudget reports whether runs of a step may only be stopped within its disruption budget.
-func hasBudget(step *workload.Step) bool { return step.Perpetual && step.MayMiss > 0 }
+func hasBudget(step *workload.Step) bool { return step.Perpetual && step.MaxUnavailable > 0 }
 
 // disruptionBudget tracks how many tasks of each step may still be stopped in the current round.
 type disruptionBudget struct {
--- a/workload/control/avoid.go
+++ b/workload/control/avoid.go
@@ -16,7 +16,7 @@
 		if !w.listed || j.avoidedWorkers[w.ID] || w.Service != u.Service || c.removedReason(w) != notClosed || !hasLabel(w, u.Step.Label) {
 			continue
 		}
-		if needed -= w.Capacity.Count(u.Step.Counted(), needed); needed <= 0 {
+		if needed -= w.Capacity.Count(u.Step.CapacityNeed(), needed); needed <= 0 {
 			u.Avoid = j.avoidedWorkers
 			return
 		}
--- a/workload/control/capacity_test.go
+++ b/workload/control/capacity_test.go
@@ -30,7 +30,7 @@
 	sim := newSimulation(seed, true)
 	sim.capacities = capacityModel{history: map[string][]capacityAt{}, readLag: time.Duration(sim.rng.Intn(1500)) * time.Millisecond}
 	for id, worker := range sim.fleet.Workers {
-		worker.Unguarded = true
+		worker.IgnoresCapacity = true
 		sim.capacities.history[id] = []capacityAt{{sim.now, worker.Capacity}}
 	}
 	return sim
@@ -47,7 +47,7 @@
 	if len(sim.capacities.history[id]) == 0 {
 		sim.capacities.history[id] = []capacityAt{{time.Unix(0, 0), worker.Capacity}}
 	}
-	worker.Unguarded = true
+	worker.IgnoresCapacity = true
 	worker.Capacity = workload.Resources{MilliCPU: 8000 * quarters, MemoryMiB: 16000 * quarters, Accelerators: 2 * quarters}
 	sim.capacities.history[id] = append(sim.capacities.history[id], capacityAt{sim.now, worker.Capacity})
 }
@@ -92,12 +92,12 @@
 	history := sim.capacities.history[e.Worker]
 	for i, capacity := range history {
 		outdated := i+1 < len(history) && history[i+1].at.Before(sim.now.Add(-staleCapacityLimit))
-		if !outdated && worker.Held().Fits(capacity.Resources) {
+		if !outdated && worker.Allocated().FitsIn(capacity.Resources) {
 			return
 		}
 	}
 	if len(history) > 0 && !sim.delayedStarts[e.Worker+e.Task.String()] {
-		sim.violation("%v run %d starts on %s, which has a capacity of %v and uses %v", e.Task, e.Run, e.Worker, worker.Capacity, worker.Held())
+		sim.violation("%v run %d starts on %s, which has a capacity of %v and uses %v", e.Task, e.Run, e.Worker, worker.Capacity, worker.Allocated())
 	}
 }
 
--- a/workload/control/centres.go
+++ b/workload/control/centres.go
@@ -64,5 +64,5 @@
 // cutOff reports whether the worker's data centre is unreachable.
 func (c *Core) cutOff(w *worker) bool {
 	dc := c.centreOf(w)
-	return w.DataCentre != "" && dc.isSilent() && !c.bounds.Without[decide.WatchCentres]
+	return w.DataCentre != "" && dc.isSilent() && !c.bounds.Disabled[decide.CloseSilentCentres]
 }
--- a/workload/control/centres_test.go
+++ b/workload/control/centres_test.go
@@ -11,10 +11,10 @@
 // unanswered call until any of its workers answers a call that was sent later.
 func TestUnreachableDataCentreIsClosedUntilItAnswers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(Bounds{Wait: time.Second}, 1, now)
-	c.List([]Listing{{ID: "a1", Address: "x", DataCentre: "a"}, {ID: "a2", Address: "y", DataCentre: "a"}, {ID: "b1", Address: "z", DataCentre: "b"}}, now)
-	renew := func(id string, verdict Verdict, sent, at time.Time) {
-		c.Held(HoldOrder{Worker: id, Wait: time.Second}, HoldAnswer{Verdict: verdict, ClockMS: 1}, sent, at)
+	c := New(Bounds{PollWait: time.Second}, 1, now)
+	c.SetWorkers([]Listing{{ID: "a1", Address: "x", DataCentre: "a"}, {ID: "a2", Address: "y", DataCentre: "a"}, {ID: "b1", Address: "z", DataCentre: "b"}}, now)
+	renew := func(id string, verdict Result, sent, at time.Time) {
+		c.HandleRenewal(RenewalOrder{Worker: id, Wait: time.Second}, RenewalAnswer{Result: verdict, ClockMS: 1}, sent, at)
 	}
 	for _, id := range []string{"a1", "a2", "b1"} {
 		renew(id, Accepted, now, now)
@@ -22,7 +22,7 @@
 	closed := func(id string) bool { return c.cutOff(c.workers[id]) }
 	at := func(d time.Duration) time.Time { return now.Add(d) }
 
-	renew("a1", Unreached, at(time.Second), at(time.Second+10*time.Millisecond))
+	renew("a1", Unreachable, at(time.Second), at(time.Second+10*time.Millisecond))
 	if closed("a2") {
 		t.Fatal("closed by a call that failed at once")
 	}
@@ -30,14 +30,14 @@
 	if !closed("a2") || closed("b1") {
 		t.Fatalf("after an unanswered call to data centre a: a closed %t, b closed %t", closed("a2"), closed("b1"))
 	}
-	if ids := c.NeedsHold(at(4 * time.Second)); len(ids) != 2 {
+	if ids := c.WorkersToRenew(at(4 * time.Second)); len(ids) != 2 {
 		t.Fatalf("%v are probed, want 2 workers", ids)
 	}
 	renew("a2", Accepted, at(4*time.Second), at(4*time.Second))
 	if closed("a2") {
 		t.Fatal("closed although a worker has answered")
 	}
-	c.bounds.Without = decide.Without{decide.WatchCentres: true}
+	c.bounds.Disabled = decide.DisabledMechanisms{decide.CloseSilentCentres: true}
 	renew("a1", Unanswered, at(6*time.Second), at(8*time.Second))
 	if closed("a2") {
 		t.Fatal("closed although the mechanism is disabled")
--- a/workload/control/closed.go
+++ b/workload/control/closed.go
@@ -48,7 +48,7 @@
 		return closedRestarted
 	case len(w.unexpectedRuns) > 0:
 		return closedUnexpectedRuns
-	case w.freeCapacity().Short():
+	case w.freeCapacity().HasNegative():
 		return closedOverCapacity
 	case w.trust.isClosed(now):
 		return closedDistrusted
@@ -88,7 +88,7 @@
 // reports whether the run was given up.
 func (c *Core) withdrawIfClosed(r *activeRun) bool {
 	reason := c.removedReason(r.worker)
-	if reason == notClosed && r.worker.listed && r.worker.freeCapacity().Short() {
+	if reason == notClosed && r.worker.listed && r.worker.freeCapacity().HasNegative() {
 		reason = closedOverCapacity
 	}
 	if reason == notClosed {
--- a/workload/control/core.go
+++ b/workload/control/core.go
@@ -36,8 +36,8 @@
 	pendingStarts    []*activeRun
 	batchStarts      []*activeRun
 	pendingStops     []StopOrder
-	pendingThrottles []PaceOrder
-	pendingEvents    []Note
+	pendingThrottles []ThrottleOrder
+	pendingEvents    []Event
 	estimates        *estimates
 	// speeds are the workers' speeds, last updated at speedsUpdatedAt.
 	speeds          map[string]*speed
@@ -161,7 +161,7 @@
 	reportedAt   time.Time
 	// unsettledReported is set once it was reported as a run whose state can't be resolved.
 	unsettledReported bool
-	// metric is the worker's latest RunningRow.Figure.
+	// metric is the worker's latest RunningRow.Metric.
 	metric int
 	// throttledPercent is the share of its pace that throttling takes away, in percent.
 	// throttlePending is set while a throttle order is in flight.
@@ -178,7 +178,7 @@
 // expired.
 func New(bounds Bounds, token int64, now time.Time) *Core {
 	if bounds.Plan == nil {
-		bounds.Plan = decide.Make
+		bounds.Plan = decide.MakePlan
 	}
 	return &Core{
 		bounds:             bounds,
@@ -203,7 +203,7 @@
 		startedAt:          now,
 		dirty:              map[workload.JobID]bool{},
 		estimates:          newEstimates(),
-		inheritedLeasesEnd: leasesEnd(now.Add(bounds.Authority), bounds),
+		inheritedLeasesEnd: leasesEnd(now.Add(bounds.AuthorityPeriod), bounds),
 	}
 }
 
@@ -212,16 +212,16 @@
 	return since.Add(maxLeaseTime(bounds.Lease) + lapseSlack)
 }
 
-// Succeeds records that no earlier planner has sent an order after the given time.
-func (c *Core) Succeeds(since time.Time) {
+// SetPredecessorSilentSince records that no earlier planner has sent an order after the given time.
+func (c *Core) SetPredecessorSilentSince(since time.Time) {
 	if end := leasesEnd(since, c.bounds); end.Before(c.inheritedLeasesEnd) {
 		c.inheritedLeasesEnd = end
 	}
 }
 
-// StrangersUntil returns when leases that earlier planners gave to workers which have not
+// InheritedLeasesEnd returns when leases that earlier planners gave to workers which have not
 // answered yet must have expired.
-func (c *Core) StrangersUntil() time.Time { return c.inheritedLeasesEnd }
+func (c *Core) InheritedLeasesEnd() time.Time { return c.inheritedLeasesEnd }
 
 // Deposed reports whether a worker or host has refused this planner's token.
 func (c *Core) Deposed() bool { return c.deposed }
@@ -232,19 +232,19 @@
 // Configure sets the configuration.
 func (c *Core) Configure(config Configuration) { c.config = config }
 
-// Notes returns the events since the last call.
-func (c *Core) Notes() []Note {
+// Events returns the events since the last call.
+func (c *Core) Events() []Event {
 	out := c.pendingEvents
 	c.pendingEvents = nil
 	return out
 }
 
-func (c *Core) emit(n Note) { c.pendingEvents = append(c.pendingEvents, n) }
+func (c *Core) emit(n Event) { c.pendingEvents = append(c.pendingEvents, n) }
 
 func (c *Core) addRun(j *job, id workload.TaskID, t *workload.Task) *activeRun {
 	r := &activeRun{
-		id: id, key: decide.UnitKey{Job: id.Job, K: id.K, Step: id.Step},
-		step: &j.Steps[id.Step], job: j, run: t.Run, saved: t.Saved,
+		id: id, key: decide.UnitKey{Job: id.Job, Occurrence: id.Occurrence, Step: id.Step},
+		step: &j.Steps[id.Step], job: j, run: t.Run, saved: t.LastCheckpoint,
 		worker: c.workerFor(t.Worker),
 	}
 	c.runs[id] = r
@@ -297,18 +297,18 @@
 	return out
 }
 
-func (c *Core) task(r *activeRun) *workload.Task { return r.job.progress.Find(r.id) }
+func (c *Core) task(r *activeRun) *workload.Task { return r.job.progress.FindTask(r.id) }
 
 func (c *Core) markDirty(j *job) { c.dirty[j.ID] = true }
 
 // Cancel cancels a job and stops its runs.
 func (c *Core) Cancel(id workload.JobID) {
 	j := c.jobs[id]
-	if j == nil || j.cancelled || j.progress.State.Final() {
+	if j == nil || j.cancelled || j.progress.State.IsFinal() {
 		return
 	}
 	j.cancelled = true
-	c.emit(Note{Event: EventCancelling, Job: id})
+	c.emit(Event{Name: EventCancelling, Job: id})
 	c.stopAllRuns(j)
 	c.finalize(j)
 }
@@ -322,15 +322,15 @@
 // finalize records a job's final state, and closes its occurrences once none of its runs may be
 // running.
 func (c *Core) finalize(j *job) {
-	if j.cancelled && !j.progress.State.Final() {
+	if j.cancelled && !j.progress.State.IsFinal() {
 		j.progress.State = workload.Cancelled
 		c.markDirty(j)
 	}
-	if j.progress.State.Final() && j.progress.EndedMS == 0 {
+	if j.progress.State.IsFinal() && j.progress.EndedMS == 0 {
 		j.progress.EndedMS = c.wallMS
 		c.markDirty(j)
 	}
-	if !j.progress.State.Final() || len(j.runs) > 0 {
+	if !j.progress.State.IsFinal() || len(j.runs) > 0 {
 		return
 	}
 	if j.progress.Open != nil {
@@ -350,7 +350,7 @@
 		}
 		value, err := json.Marshal(j.progress)
 		if err != nil {
-			c.emit(Note{Event: EventProgressUnwritable, Job: id, Why: err.Error()})
+			c.emit(Event{Name: EventProgressUnwritable, Job: id, Reason: err.Error()})
 			continue
 		}
 		out = append(out, Record{Key: workload.ProgressKey(id), Value: value})
@@ -396,7 +396,7 @@
 
 func (c *Core) forgetEndedJobs() {
 	for id, j := range c.jobs {
-		if j.progress.State.Final() && j.progress.Open == nil && !c.dirty[id] {
+		if j.progress.State.IsFinal() && j.progress.Open == nil && !c.dirty[id] {
 			c.keepSpeeds(j)
 			c.recordFinished(id)
 			c.dropJob(j)
@@ -405,8 +405,8 @@
 	c.forgetAdvice()
 }
 
-// Stops returns the stop orders that are due.
-func (c *Core) Stops() []StopOrder {
+// StopOrders returns the stop orders that are due.
+func (c *Core) StopOrders() []StopOrder {
 	out := c.pendingStops
 	c.pendingStops = nil
 	return out
--- a/workload/control/crash_evidence_test.go
+++ b/workload/control/crash_evidence_test.go
@@ -13,7 +13,7 @@
 	other := Listing{ID: "w9", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1}
 	remaining := Listing{ID: "w1", Address: "1", Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1}
 	fallSilent := func(s *cutOffScenario) {
-		s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Unanswered}, s.now, s.now)
+		s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Unanswered}, s.now, s.now)
 	}
 	expireLease := func(s *cutOffScenario) {
 		s.now = s.now.Add(8 * time.Second)
@@ -24,34 +24,34 @@
 		counts  int
 	}{
 		"another incarnation answers": {func(s *cutOffScenario) {
-			s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Gone}, s.now, s.now)
+			s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Gone}, s.now, s.now)
 		}, 1},
-		"another incarnation is listed": {func(s *cutOffScenario) { s.c.List([]Listing{remaining, other}, s.now) }, 1},
+		"another incarnation is listed": {func(s *cutOffScenario) { s.c.SetWorkers([]Listing{remaining, other}, s.now) }, 1},
 		"run lasted for many leases": {func(s *cutOffScenario) {
 			for range 6 {
 				s.renew("w0", []RunningRow{{Task: s.firstStepTask(0), Run: 1, Percent: 1}, {Task: s.firstStepTask(1), Run: 1, Percent: 1}}, nil)
 				s.now = s.now.Add(5 * time.Second)
 			}
-			s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Gone}, s.now, s.now)
+			s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Gone}, s.now, s.now)
 		}, 0},
 		"worker was draining": {func(s *cutOffScenario) {
 			s.c.workers["w0"].Draining = true
-			s.c.List([]Listing{remaining, other}, s.now)
+			s.c.SetWorkers([]Listing{remaining, other}, s.now)
 		}, 0},
 		"host is in maintenance": {func(s *cutOffScenario) {
 			s.c.vacating["w0"] = true
-			s.c.List([]Listing{remaining, other}, s.now)
+			s.c.SetWorkers([]Listing{remaining, other}, s.now)
 		}, 0},
 		"lease expired, still listed": {func(s *cutOffScenario) { fallSilent(s); expireLease(s) }, 0},
 		"lease expired, no longer listed": {func(s *cutOffScenario) {
 			fallSilent(s)
-			s.c.List([]Listing{remaining}, s.now)
+			s.c.SetWorkers([]Listing{remaining}, s.now)
 			expireLease(s)
 		}, 1},
 		"data centre unreachable": {func(s *cutOffScenario) {
 			s.c.workers["w0"].DataCentre = "dc"
-			s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Unanswered}, s.now, s.now.Add(time.Second))
-			s.c.List([]Listing{remaining}, s.now)
+			s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Unanswered}, s.now, s.now.Add(time.Second))
+			s.c.SetWorkers([]Listing{remaining}, s.now)
 			expireLease(s)
 		}, 0},
 	} {
@@ -62,7 +62,7 @@
 			}
 			s.now = s.now.Add(100 * time.Millisecond)
 			c.happens(s)
-			if got := s.c.jobs[s.id].progress.Find(s.firstStepTask(0)).Crashes; got != c.counts {
+			if got := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(0)).Crashes; got != c.counts {
 				t.Errorf("%d crashes are counted, want %d", got, c.counts)
 			}
 		})
@@ -82,10 +82,10 @@
 		t.Run(name, func(t *testing.T) {
 			s := newCutOffScenario(false)
 			s.round()
-			task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
+			task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(0))
 			task.Crashes, task.CrashMS, task.CrashRun = 2, 100, 0
 			for _, clock := range []int64{reported.from, reported.to} {
-				s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: clock, Running: []RunningRow{{Task: s.firstStepTask(0), Run: 1}}}, s.now, s.now.Add(time.Minute))
+				s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Accepted, ClockMS: clock, Running: []RunningRow{{Task: s.firstStepTask(0), Run: 1}}}, s.now, s.now.Add(time.Minute))
 			}
 			if cleared := task.Crashes == 0; cleared != reported.cleared {
 				t.Errorf("%d crashes are left", task.Crashes)
@@ -102,8 +102,8 @@
 	otherJob := workload.JobID("00000000000000bb")
 	s.c.Adopt(otherJob, workload.Entry{Job: &workload.Job{ID: otherJob, Queue: "q", AcceptedMS: s.now.UnixMilli(), Steps: []workload.Step{{Count: 1, Need: workload.Resources{Accelerators: 1}, EstimateMS: 2000}}}, State: workload.Queued})
 	s.round()
-	s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Gone}, s.now, s.now)
-	task := s.c.jobs[otherJob].progress.Find(workload.TaskID{Job: otherJob})
+	s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Gone}, s.now, s.now)
+	task := s.c.jobs[otherJob].progress.FindTask(workload.TaskID{Job: otherJob})
 	if task.Crashes != 1 {
 		t.Fatalf("%d crashes are counted", task.Crashes)
 	}
@@ -120,10 +120,10 @@
 	for before, want := range map[int]workload.State{1: workload.Running, 2: workload.Failed} {
 		s := newCutOffScenario(false)
 		s.round()
-		task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
+		task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(0))
 		task.Crashes, task.CrashMS = before, 20
 		s.now = s.now.Add(20 * time.Millisecond)
-		s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Gone}, s.now, s.now)
+		s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Gone}, s.now, s.now)
 		if state := s.c.jobs[s.id].progress.State; state != want {
 			t.Errorf("after %d crashes the job is %s, want %s", before+1, state, want)
 		}
@@ -135,12 +135,12 @@
 func TestEstimatesIgnoreAdoptedRuns(t *testing.T) {
 	s := newCutOffScenario(false)
 	s.round()
-	task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
+	task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(0))
 	r := s.c.runs[s.firstStepTask(0)]
 	r.ordered, r.orderedAt, r.confirmed = false, time.Time{}, false
 	s.renew("w0", []RunningRow{{Task: s.firstStepTask(0), Run: task.Run, Percent: 90}, {Task: s.firstStepTask(1), Run: 1, Percent: 1}}, nil)
 	s.now = s.now.Add(100 * time.Millisecond)
-	s.renew("w0", []RunningRow{{Task: s.firstStepTask(1), Run: 1, Percent: 1}}, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndDone}})
+	s.renew("w0", []RunningRow{{Task: s.firstStepTask(1), Run: 1, Percent: 1}}, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, End: EndDone}})
 	if got, want := s.c.estimates.expected(s.c.jobs[s.id], 0), 2*time.Second; got != want {
 		t.Errorf("expected run time is %v, want %v", got, want)
 	}
--- a/workload/control/crash_failures.go
+++ b/workload/control/crash_failures.go
@@ -30,7 +30,7 @@
 	if j == nil {
 		return
 	}
-	t := j.progress.Find(id)
+	t := j.progress.FindTask(id)
 	if t == nil || t.Evidence() <= 0 {
 		return
 	}
@@ -42,10 +42,10 @@
 // failForCrashes fails the job of a task that crashes its workers.
 func (c *Core) failForCrashes(r *activeRun) {
 	t := c.task(r)
-	if t == nil || r.job.progress.State.Final() {
+	if t == nil || r.job.progress.State.IsFinal() {
 		return
 	}
-	c.emit(Note{Event: EventJobFailed, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Why: "crashes-workers", Detail: fmt.Sprintf("%s within_ms=%d", crashDetail(t), t.CrashMS)})
+	c.emit(Event{Name: EventJobFailed, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Reason: "crashes-workers", Detail: fmt.Sprintf("%s within_ms=%d", crashDetail(t), t.CrashMS)})
 	c.failJob(r.job)
 	c.exonerateOthers(r.id.Job)
 }
--- a/workload/control/crash_model_test.go
+++ b/workload/control/crash_model_test.go
@@ -62,7 +62,7 @@
 func (m *crashModel) isListed(id string, now time.Time) bool { return now.Before(m.entryExpiresAt[id]) }
 
 // callResult returns the result of a call to a crashed worker, and the time that it takes.
-func (m *crashModel) callResult(id string) (control.Verdict, time.Duration) {
+func (m *crashModel) callResult(id string) (control.Result, time.Duration) {
 	switch {
 	case m.successors[id] != "":
 		return control.Gone, 5 * time.Millisecond
--- a/workload/control/crashes.go
+++ b/workload/control/crashes.go
@@ -259,7 +259,7 @@
 	if t := c.task(r); t != nil && t.TotalCrashes() > 0 {
 		detail += " " + crashDetail(t)
 	}
-	c.emit(Note{Event: EventRunLost, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Why: reason, Detail: detail})
+	c.emit(Event{Name: EventRunLost, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Reason: reason, Detail: detail})
 }
 
 func crashDetail(t *workload.Task) string {
--- a/workload/control/departures.go
+++ b/workload/control/departures.go
@@ -24,7 +24,7 @@
 // restart elsewhere instead of being lost. Runs with checkpoints continue until the last moment
 // at which a stop still saves their progress.
 func (c *Core) stopOnLeavingWorkers(now time.Time) {
-	if c.bounds.Without[decide.LeaveEarly] {
+	if c.bounds.Disabled[decide.StopBeforeDeparture] {
 		return
 	}
 	for _, r := range c.allRuns() {
--- a/workload/control/due_time.go
+++ b/workload/control/due_time.go
@@ -21,7 +21,7 @@
 	if j.dueAt.After(now) {
 		j.dueAt = now
 	}
-	settled := !j.inherited && now.Sub(c.startedAt) > c.bounds.Authority
+	settled := !j.inherited && now.Sub(c.startedAt) > c.bounds.AuthorityPeriod
 	if settled && now.Sub(j.dueAt) > maxPickupDelay {
 		j.dueAt = now.Add(-maxPickupDelay)
 	}
--- a/workload/control/due_time_test.go
+++ b/workload/control/due_time_test.go
@@ -16,7 +16,7 @@
 	newJob := func(acceptedMS int64) *job {
 		return &job{Job: &workload.Job{AcceptedMS: acceptedMS}}
 	}
-	c := New(Bounds{Authority: time.Second}, 1, start)
+	c := New(Bounds{AuthorityPeriod: time.Second}, 1, start)
 	j := newJob(wallMS - 20)
 	want := at(5 * time.Second).Add(-20 * time.Millisecond)
 	for _, jump := range []int64{0, 4000, -4000} {
@@ -31,7 +31,7 @@
 		}
 	}
 	// A planner that has just started learns of jobs that have waited for a long time.
-	if got := at(0).Sub(New(Bounds{Authority: time.Second}, 2, start).due(newJob(wallMS-4000), 0, start, wallMS)); got != 4*time.Second {
+	if got := at(0).Sub(New(Bounds{AuthorityPeriod: time.Second}, 2, start).due(newJob(wallMS-4000), 0, start, wallMS)); got != 4*time.Second {
 		t.Errorf("a job accepted 4s before the planner started was due %v before", got)
 	}
 }
--- a/workload/control/entry_age_test.go
+++ b/workload/control/entry_age_test.go
@@ -41,16 +41,16 @@
 		"the heartbeat is unknown":         {func(c *Core, _ *worker) { c.bounds.Heartbeat = 0 }, false},
 		"the entry shows no clock":         {func(_ *Core, w *worker) { w.ClockMS = 0 }, false},
 		"no lease renewal was answered":    {func(_ *Core, w *worker) { w.incarnation = newIncarnation(1, 7) }, false},
-		"entry of another incarnation":     {func(_ *Core, w *worker) { w.Born = 8 }, false},
+		"entry of another incarnation":     {func(_ *Core, w *worker) { w.StartMS = 8 }, false},
 		"the worker may have restarted":    {func(_ *Core, w *worker) { w.restartSuspected = true }, false},
 		"clocks of two incarnations":       {func(_ *Core, w *worker) { w.ClockMS += 60_000 }, false},
-		"the list was interrupted since":   {func(c *Core, _ *worker) { c.ListInterrupted(now.Add(-500 * time.Millisecond)) }, false},
-		"the list was interrupted earlier": {func(c *Core, _ *worker) { c.ListInterrupted(now.Add(-5 * time.Second)) }, true},
+		"the list was interrupted since":   {func(c *Core, _ *worker) { c.RecordListGap(now.Add(-500 * time.Millisecond)) }, false},
+		"the list was interrupted earlier": {func(c *Core, _ *worker) { c.RecordListGap(now.Add(-5 * time.Second)) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			core := New(bounds, 1, now)
 			w := core.workerFor("w")
-			w.Draining, w.Born, w.startMS = true, 7, 7
+			w.Draining, w.StartMS, w.startMS = true, 7, 7
 			w.updateClockAnchor(50_000, now.Add(-2*time.Second))
 			w.ClockMS = 51_000
 			c.change(core, w)
--- a/workload/control/evacuation.go
+++ b/workload/control/evacuation.go
@@ -26,12 +26,12 @@
 		requested[name] = true
 		if c.evacuations[name] == nil {
 			c.evacuations[name] = &evacuation{since: now}
-			c.emit(Note{Event: EventEvacuationBegins, Detail: fmt.Sprintf("centre=%s runs=%d", name, c.runsIn(name))})
+			c.emit(Event{Name: EventEvacuationBegins, Detail: fmt.Sprintf("centre=%s runs=%d", name, c.runsIn(name))})
 		}
 	}
 	for _, name := range sortedKeys(c.evacuations) {
 		if !requested[name] {
-			c.emit(Note{Event: EventEvacuationEnds, Detail: fmt.Sprintf("centre=%s runs=%d lasted_ms=%d", name, c.runsIn(name), now.Sub(c.evacuations[name].since).Milliseconds())})
+			c.emit(Event{Name: EventEvacuationEnds, Detail: fmt.Sprintf("centre=%s runs=%d lasted_ms=%d", name, c.runsIn(name), now.Sub(c.evacuations[name].since).Milliseconds())})
 			delete(c.evacuations, name)
 		}
 	}
@@ -53,16 +53,17 @@
 	return n
 }
 
-// Evacuated is the remaining work of the evacuations.
-type Evacuated struct {
+// EvacuationStatus is the remaining work of the evacuations.
+type EvacuationStatus struct {
 	// Centres is the number of evacuated data centres, Runs the number of runs that are or may be
 	// left there, including those on workers whose data centre is unknown.
 	Centres, Runs int
 }
 
-// Evacuated counts the remaining work, and emits an event when a data centre has become empty.
-func (c *Core) Evacuated(now time.Time) Evacuated {
-	out := Evacuated{Centres: len(c.evacuations)}
+// EvacuationStatus counts the remaining work, and emits an event when a data centre has become
+// empty.
+func (c *Core) EvacuationStatus(now time.Time) EvacuationStatus {
+	out := EvacuationStatus{Centres: len(c.evacuations)}
 	if out.Centres == 0 {
 		return out
 	}
@@ -74,7 +75,7 @@
 		out.Runs += runs
 		empty := runs+inUnknown == 0
 		if empty && !e.empty {
-			c.emit(Note{Event: EventEvacuationEmpty, Detail: fmt.Sprintf("centre=%s after_ms=%d", name, now.Sub(e.since).Milliseconds())})
+			c.emit(Event{Name: EventEvacuationEmpty, Detail: fmt.Sprintf("centre=%s after_ms=%d", name, now.Sub(e.since).Milliseconds())})
 		}
 		e.empty = empty
 	}
--- a/workload/control/evacuation_test.go
+++ b/workload/control/evacuation_test.go
@@ -37,14 +37,14 @@
 }
 
 func (c *evacuationScenario) contactWorkers() {
-	c.List(c.list, c.now)
+	c.SetWorkers(c.list, c.now)
 	for _, l := range c.list {
-		c.Held(control.HoldOrder{Worker: l.ID, Token: 1}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 1000}, c.now, c.now)
+		c.HandleRenewal(control.RenewalOrder{Worker: l.ID, Token: 1}, control.RenewalAnswer{Result: control.Accepted, ClockMS: 1000}, c.now, c.now)
 	}
 }
 
 func (c *evacuationScenario) submit(id workload.JobID, step workload.Step) {
-	c.Adopt(id, workload.Entry{Job: &workload.Job{ID: id, Steps: []workload.Step{step}, Terms: workload.Terms{Priority: 1, Attempts: 3, Stretch: 3}}})
+	c.Adopt(id, workload.Entry{Job: &workload.Job{ID: id, Steps: []workload.Step{step}, QueueSettings: workload.QueueSettings{Priority: 1, MaxAttempts: 3, Stretch: 3}}})
 }
 
 // runRound runs one round and returns the records to write.
@@ -71,8 +71,8 @@
 func (c *evacuationScenario) advance(d time.Duration) { c.now = c.now.Add(d) }
 
 func (c *evacuationScenario) eventDetail(event string) string {
-	for _, n := range c.Notes() {
-		if n.Event == event {
+	for _, n := range c.Events() {
+		if n.Name == event {
 			return n.Detail
 		}
 	}
@@ -91,7 +91,7 @@
 	if got := c.startedOn(); !slices.Equal(got, []string{"b0", "b1"}) {
 		t.Fatalf("started on %v", got)
 	}
-	if left := c.Evacuated(c.now); left != (control.Evacuated{Centres: 1}) {
+	if left := c.EvacuationStatus(c.now); left != (control.EvacuationStatus{Centres: 1}) {
 		t.Fatalf("remaining work: %+v", left)
 	}
 	if c.eventDetail(control.EventEvacuationEmpty) == "" {
@@ -116,13 +116,13 @@
 	c.Evacuate([]string{"a"}, c.now)
 	c.advance(time.Second)
 	c.runRound()
-	if stops := c.Stops(); len(stops) != 0 {
+	if stops := c.StopOrders(); len(stops) != 0 {
 		t.Fatalf("stopped: %+v", stops)
 	}
-	if left := c.Evacuated(c.now); left.Runs != 2 {
+	if left := c.EvacuationStatus(c.now); left.Runs != 2 {
 		t.Fatalf("remaining work: %+v", left)
 	}
-	if ids := c.NeedsHold(c.now); !slices.Contains(ids, "a0") || !slices.Contains(ids, "a1") {
+	if ids := c.WorkersToRenew(c.now); !slices.Contains(ids, "a0") || !slices.Contains(ids, "a1") {
 		t.Fatalf("leases are renewed on %v only", ids)
 	}
 }
@@ -134,11 +134,11 @@
 		"evacuated": func(c *evacuationScenario) { c.Evacuate([]string{"a"}, c.now) },
 		"draining": func(c *evacuationScenario) {
 			c.list[0].Draining, c.list[1].Draining = true, true
-			c.List(c.list, c.now)
+			c.SetWorkers(c.list, c.now)
 		},
 		"unreadable": func(c *evacuationScenario) {
 			c.list[0].Unreadable, c.list[1].Unreadable = true, true
-			c.List(c.list, c.now)
+			c.SetWorkers(c.list, c.now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -180,15 +180,15 @@
 	c.Evacuate([]string{"b"}, c.now)
 	c.runRound()
 	order := c.Persisted(c.now)[0]
-	c.Started(order, control.Answer{Verdict: control.Unanswered}, c.now)
+	c.HandleStartAnswer(order, control.Answer{Result: control.Unanswered}, c.now)
 	c.Evacuate([]string{"a"}, c.now)
 	for range 100 {
 		c.advance(50 * time.Millisecond)
-		if repeated := c.Due(c.now); len(repeated) > 0 {
+		if repeated := c.RetryOrders(c.now); len(repeated) > 0 {
 			t.Fatalf("start order was repeated on %s", repeated[0].Worker)
 		}
 	}
-	if stops := c.Stops(); len(stops) == 0 || stops[0].Worker != "a0" && stops[0].Worker != "a1" {
+	if stops := c.StopOrders(); len(stops) == 0 || stops[0].Worker != "a0" && stops[0].Worker != "a1" {
 		t.Fatalf("no stop order for the unanswered start: %+v", stops)
 	}
 }
@@ -201,7 +201,7 @@
 		"one rack": {Count: 2, Need: need(8), Gang: true, SameRack: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newEvacuationScenario(t, func(b *control.Bounds) { b.FarFactor = 3 })
+			c := newEvacuationScenario(t, func(b *control.Bounds) { b.RemoteFactor = 3 })
 			c.Evacuate([]string{"a"}, c.now)
 			c.submit(jobA, step)
 			if got := c.startedOn(); len(got) != step.Count || got[0][0] != 'b' {
@@ -217,23 +217,23 @@
 	c := newEvacuationScenario(t, nil)
 	for i := range c.list {
 		if c.list[i].DataCentre == "a" {
-			c.list[i].ColdMS = 2000
+			c.list[i].WarmupMS = 2000
 		}
 	}
-	c.List(c.list, c.now)
+	c.SetWorkers(c.list, c.now)
 	c.advance(time.Second)
 	// The list is read again whenever any entry changes, which must not restart the warm-up.
-	c.List(c.list, c.now)
+	c.SetWorkers(c.list, c.now)
 	c.submit(jobA, workload.Step{Count: 1, Need: need(1)})
 	if got := c.startedOn(); got[0][0] != 'a' {
 		t.Fatalf("a task that can wait was started on %v", got)
 	}
-	c.Adopt(jobB, workload.Entry{Job: &workload.Job{ID: jobB, Steps: []workload.Step{{Count: 2, Need: need(4), Gang: true}}, Terms: workload.Terms{Stretch: 2, TargetMS: 5000, Attempts: 1}}})
+	c.Adopt(jobB, workload.Entry{Job: &workload.Job{ID: jobB, Steps: []workload.Step{{Count: 2, Need: need(4), Gang: true}}, QueueSettings: workload.QueueSettings{Stretch: 2, TargetMS: 5000, MaxAttempts: 1}}})
 	if got := c.startedOn(); len(got) != 2 || got[0][0] != 'b' || got[1][0] != 'b' {
 		t.Fatalf("urgent work was started on %v", got)
 	}
 	c.advance(1100 * time.Millisecond)
-	c.Adopt(jobC, workload.Entry{Job: &workload.Job{ID: jobC, Steps: []workload.Step{{Count: 1, Need: need(7), Gang: true}}, Terms: workload.Terms{Stretch: 2, TargetMS: 5000, Attempts: 1}}})
+	c.Adopt(jobC, workload.Entry{Job: &workload.Job{ID: jobC, Steps: []workload.Step{{Count: 1, Need: need(7), Gang: true}}, QueueSettings: workload.QueueSettings{Stretch: 2, TargetMS: 5000, MaxAttempts: 1}}})
 	if got := c.startedOn(); len(got) != 1 || got[0][0] != 'a' {
 		t.Fatalf("after the warm-up: started on %v", got)
 	}
@@ -319,7 +319,7 @@
 	for _, id := range e.jobIDs {
 		p.core.Adopt(workload.JobID(id), e.entry(workload.JobID(id)))
 	}
-	p.core.List(list, e.now)
+	p.core.SetWorkers(list, e.now)
 	e.applyEvacuations(p, plannerStartedAt)
 	p.core.Round(e.now, e.now.UnixMilli())
 	for _, r := range p.core.Changes() {
@@ -330,14 +330,14 @@
 		if !e.mutant.skipsRecheck {
 			e.applyEvacuations(p, plannerStartedAt)
 		}
-		e.sendStarts(p, p.core.Due(e.now))
+		e.sendStarts(p, p.core.RetryOrders(e.now))
 		e.sendOrders(p)
 	}
 	if !e.mutant.skipsRecheck {
 		e.applyEvacuations(p, plannerStartedAt)
 	}
 	e.sendStarts(p, p.core.Persisted(e.now))
-	e.sendStarts(p, p.core.Due(e.now))
+	e.sendStarts(p, p.core.RetryOrders(e.now))
 	e.sendOrders(p)
 }
 
@@ -435,7 +435,7 @@
 func TestCentreIsNotReportedEmptyBeforeWorkersAreListed(t *testing.T) {
 	first := newEvacuationScenario(t, nil)
 	first.submit(jobA, fullWorkerStep)
-	entry := workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{fullWorkerStep}, Terms: workload.Terms{Priority: 1, Attempts: 3, Stretch: 3}}}
+	entry := workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{fullWorkerStep}, QueueSettings: workload.QueueSettings{Priority: 1, MaxAttempts: 3, Stretch: 3}}}
 	for _, r := range first.runRound() {
 		if r.Key == workload.ProgressKey(jobA) {
 			entry.Progress = r.Value
@@ -445,11 +445,11 @@
 	next.Configure(control.Configuration{Version: 1})
 	next.Adopt(jobA, entry)
 	next.Evacuate([]string{"a"}, next.now)
-	if left := next.Evacuated(next.now); left.Runs == 0 || next.eventDetail(control.EventEvacuationEmpty) != "" {
+	if left := next.EvacuationStatus(next.now); left.Runs == 0 || next.eventDetail(control.EventEvacuationEmpty) != "" {
 		t.Fatalf("remaining work before the list was read: %+v", left)
 	}
-	next.List(next.list, next.now)
-	if left := next.Evacuated(next.now); left != (control.Evacuated{Centres: 1, Runs: 2}) || next.eventDetail(control.EventEvacuationEmpty) != "" {
+	next.SetWorkers(next.list, next.now)
+	if left := next.EvacuationStatus(next.now); left != (control.EvacuationStatus{Centres: 1, Runs: 2}) || next.eventDetail(control.EventEvacuationEmpty) != "" {
 		t.Fatalf("remaining work after the list was read: %+v", left)
 	}
 }
--- a/workload/control/headroom.go
+++ b/workload/control/headroom.go
@@ -63,7 +63,7 @@
 		if s.Running[i].Priority > 0 {
 			continue
 		}
-		for _, held := range s.Running[i].Held {
+		for _, held := range s.Running[i].Allocations {
 			needed += held.Accelerators
 		}
 	}
--- a/workload/control/incarnation_changes_test.go
+++ b/workload/control/incarnation_changes_test.go
@@ -11,12 +11,12 @@
 // start time and clock, on which nothing runs.
 func (s *cutOffScenario) answerAsIncarnation(t *testing.T, worker string, born, clockMS int64) {
 	t.Helper()
-	s.now = s.now.Add(HoldRetry + pollPause)
-	order, ok := s.c.Hold(worker, s.now)
+	s.now = s.now.Add(RenewalRetryPause + pollPause)
+	order, ok := s.c.NextRenewal(worker, s.now)
 	if !ok {
 		t.Fatalf("no lease renewal is sent to %s", worker)
 	}
-	s.c.Held(order, HoldAnswer{Verdict: Accepted, ClockMS: clockMS, Born: born}, s.now, s.now)
+	s.c.HandleRenewal(order, RenewalAnswer{Result: Accepted, ClockMS: clockMS, StartMS: born}, s.now, s.now)
 }
 
 // Guards against a gang that waits for ever for a run that was never started. Its start was decided
@@ -30,9 +30,9 @@
 		s.c.workers["w0"].startMS = 7
 		s.c.Round(s.now, s.now.UnixMilli())
 		s.c.Changes()
-		s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Unanswered}, s.now, s.now)
+		s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Unanswered}, s.now, s.now)
 		for _, o := range s.c.Persisted(s.now) {
-			s.c.Started(o, Answer{Verdict: Unanswered}, s.now)
+			s.c.HandleStartAnswer(o, Answer{Result: Unanswered}, s.now)
 		}
 		if len(s.c.runs) != 2 {
 			t.Fatalf("%d runs were ordered", len(s.c.runs))
@@ -71,14 +71,14 @@
 // with another start time.
 func TestGoneWorkerIsUsedAgainAsNewIncarnation(t *testing.T) {
 	s := newCutOffScenario(false)
-	entry := Listing{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1, Born: 7}
-	s.c.List([]Listing{entry}, s.now)
-	s.c.Held(HoldOrder{Worker: "w0", Token: 1, Address: "0"}, HoldAnswer{Verdict: Gone}, s.now, s.now)
+	entry := Listing{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1, StartMS: 7}
+	s.c.SetWorkers([]Listing{entry}, s.now)
+	s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1, Address: "0"}, RenewalAnswer{Result: Gone}, s.now, s.now)
 	if n := len(s.round()); n != 0 {
 		t.Fatalf("%d tasks were started on a worker that is gone", n)
 	}
-	entry.Born = 8
-	s.c.List([]Listing{entry}, s.now)
+	entry.StartMS = 8
+	s.c.SetWorkers([]Listing{entry}, s.now)
 	s.answerAsIncarnation(t, "w0", 8, 10)
 	if n := len(s.round()); n != 2 {
 		t.Fatalf("%d tasks were started on its next incarnation, want 2", n)
@@ -89,7 +89,7 @@
 func TestAnswerFromFormerAddressDoesNotEndIncarnation(t *testing.T) {
 	s := newCutOffScenario(false)
 	s.round()
-	s.c.Held(HoldOrder{Worker: "w0", Token: 1, Address: "elsewhere"}, HoldAnswer{Verdict: Gone}, s.now, s.now)
+	s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1, Address: "elsewhere"}, RenewalAnswer{Result: Gone}, s.now, s.now)
 	if len(s.c.runs) != 2 || s.c.workers["w0"].gone {
 		t.Fatalf("%d runs are left", len(s.c.runs))
 	}
@@ -107,7 +107,7 @@
 	s.renew("w0", []RunningRow{{Task: s.firstStepTask(0), Run: 1, Percent: 1}, {Task: s.firstStepTask(1), Run: 1, Percent: 1}}, nil)
 	s.answerAsIncarnation(t, "w0", 8, 10)
 	for i := range 2 {
-		if task := s.c.jobs[s.id].progress.Find(s.firstStepTask(i)); task.Phase != workload.Waiting || task.Crashes != 1 {
+		if task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(i)); task.Phase != workload.Waiting || task.Crashes != 1 {
 			t.Fatalf("task is %+v, want it waiting with 1 crash", task)
 		}
 	}
--- a/workload/control/incarnations.go
+++ b/workload/control/incarnations.go
@@ -65,7 +65,7 @@
 // recipient returns the current incarnation as the recipient of an order that no other
 // incarnation may carry out.
 func (w *worker) recipient(now time.Time) Recipient {
-	to := Recipient{Connections: w.newestConnection, Born: w.startMS}
+	to := Recipient{NewestConnection: w.newestConnection, StartMS: w.startMS}
 	if w.clockMS != 0 {
 		to.ClockMS = w.clockLowerBound(now)
 	}
@@ -90,8 +90,8 @@
 // successor's token is higher regardless of them.
 const raiseBits = 20
 
-// Claim returns the planner's fencing token from which a worker's token was derived.
-func Claim(token int64) int64 { return token >> raiseBits }
+// ClaimToken returns the planner's fencing token from which a worker's token was derived.
+func ClaimToken(token int64) int64 { return token >> raiseBits }
 
 // raiseToken raises a worker's token, so that no earlier order has any effect there once the next
 // lease renewal is answered. If the counter is exhausted, tokens stay as they are, and orders are
@@ -106,8 +106,8 @@
 // is older than what is known. The start time alone is not enough, since it could be set back, or
 // two could fall into the same millisecond. The worker's clock, which never goes back within an
 // incarnation, detects these cases too.
-func (w *worker) isAnotherIncarnation(answer HoldAnswer) bool {
-	return w.everReached && (startsDiffer(w.startMS, answer.Born) || answer.ClockMS < w.renewalClockMS)
+func (w *worker) isAnotherIncarnation(answer RenewalAnswer) bool {
+	return w.everReached && (startsDiffer(w.startMS, answer.StartMS) || answer.ClockMS < w.renewalClockMS)
 }
 
 // startsDiffer reports whether two start times, of which either may be unknown, belong to
@@ -118,7 +118,7 @@
 // answered. The entry may be older than what is known, so it only triggers a lease renewal, whose
 // answer decides.
 func (c *Core) checkListedStart(w *worker, l Listing, now time.Time) {
-	if l.Born == w.Listing.Born {
+	if l.StartMS == w.Listing.StartMS {
 		return
 	}
 	if w.gone {
@@ -129,7 +129,7 @@
 	}
 	// An incarnation that was draining was followed by one that is not: that was no crash.
 	w.previousDrained = w.Draining && !l.Draining
-	if w.everReached && l.Born != 0 && l.Born != w.startMS {
+	if w.everReached && l.StartMS != 0 && l.StartMS != w.startMS {
 		w.restartSuspected = true
 		w.nextRenewalAt = now
 	}
@@ -137,7 +137,7 @@
 
 // replaceIncarnation replaces the previous incarnation by a new one. Runs that the new one
 // reports were started there by orders that were meant for the previous one. The others are lost.
-func (c *Core) replaceIncarnation(w *worker, order HoldOrder, answer HoldAnswer, now time.Time) {
+func (c *Core) replaceIncarnation(w *worker, order RenewalOrder, answer RenewalAnswer, now time.Time) {
 	reported := map[workload.TaskID]int64{}
 	for _, row := range answer.Running {
 		reported[row.Task] = row.Run
@@ -151,12 +151,12 @@
 			lost = append(lost, r)
 		}
 	}
-	c.emit(Note{Event: EventWorkerRestarted, Worker: w.ID, Detail: fmt.Sprintf("born=%d before=%d seen=%d told=%d lost=%d", answer.Born, w.startMS, w.receivedEnd, w.acknowledgedEnd, len(lost))})
+	c.emit(Event{Name: EventWorkerRestarted, Worker: w.ID, Detail: fmt.Sprintf("born=%d before=%d seen=%d told=%d lost=%d", answer.StartMS, w.startMS, w.receivedEnd, w.acknowledgedEnd, len(lost))})
 	givenUp := c.attributeCrash(w, lost, reasonRestarted, now)
 	for _, r := range lost {
 		c.emitRunLost(r, reasonRestarted, len(lost)-1, now)
 	}
-	w.incarnation = newIncarnation(w.number+1, answer.Born)
+	w.incarnation = newIncarnation(w.number+1, answer.StartMS)
 	w.previousDrained = false
 	c.forgetIncarnation(w.ID)
 	if order.Token <= w.lastOrderToken {
--- a/workload/control/late_end.go
+++ b/workload/control/late_end.go
@@ -14,18 +14,18 @@
 // of the pool is free. A run that was started in its place meanwhile is stopped.
 func (c *Core) handleLateEnd(w *worker, row EndedRow) {
 	j := c.jobs[row.Task.Job]
-	if row.How != EndDone || j == nil || j.cancelled || j.progress.State.Final() {
+	if row.End != EndDone || j == nil || j.cancelled || j.progress.State.IsFinal() {
 		return
 	}
-	t := j.progress.Find(row.Task)
+	t := j.progress.FindTask(row.Task)
 	if t == nil || t.Phase == workload.Done || row.Run > t.Run || j.Steps[row.Task.Step].Perpetual {
 		return
 	}
-	c.emit(Note{Event: EventRunEnded, Job: j.ID, Task: row.Task.String(), Worker: w.ID, Run: row.Run, Why: string(EndDone), Detail: fmt.Sprintf("number=%d late", row.Number)})
+	c.emit(Event{Name: EventRunEnded, Job: j.ID, Task: row.Task.String(), Worker: w.ID, Run: row.Run, Reason: string(EndDone), Detail: fmt.Sprintf("number=%d late", row.Number)})
 	c.markDirty(j)
-	key := unitKey(row.Task.Job, row.Task.K, row.Task.Step)
+	key := unitKey(row.Task.Job, row.Task.Occurrence, row.Task.Step)
 	for _, o := range j.progress.Open {
-		if o.K == row.Task.K {
+		if o.Number == row.Task.Occurrence {
 			markDone(o.Steps[row.Task.Step], row.Task.Index, j.Steps[row.Task.Step].Gang)
 		}
 	}
--- a/workload/control/late_end_test.go
+++ b/workload/control/late_end_test.go
@@ -18,13 +18,13 @@
 
 func newCutOffScenario(gang bool) *cutOffScenario {
 	s := &cutOffScenario{now: time.Unix(1000, 0), id: "00000000000000aa"}
-	s.c = New(Bounds{Lease: 6 * time.Second, Authority: time.Hour, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second, ReclaimWithin: 3 * time.Second, FarFactor: 3, Wait: time.Second}, 1, s.now)
-	s.c.Configure(Configuration{Queues: map[string]workload.Terms{"q": {Priority: 1, Attempts: 3, Stretch: 3, TargetMS: 1000}}})
+	s.c = New(Bounds{Lease: 6 * time.Second, AuthorityPeriod: time.Hour, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second, ReclaimWithin: 3 * time.Second, RemoteFactor: 3, PollWait: time.Second}, 1, s.now)
+	s.c.Configure(Configuration{Queues: map[string]workload.QueueSettings{"q": {Priority: 1, MaxAttempts: 3, Stretch: 3, TargetMS: 1000}}})
 	var list []Listing
 	for i := range 2 {
 		list = append(list, Listing{ID: fmt.Sprint("w", i), Address: fmt.Sprint(i), Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1})
 	}
-	s.c.List(list, s.now)
+	s.c.SetWorkers(list, s.now)
 	s.renew("w0", nil, nil)
 	s.c.workers["w1"].reachable = false
 	steps := []workload.Step{{Count: 2, Gang: gang, EstimateMS: 2000, Need: workload.Resources{Accelerators: 1}}, {Count: 3, DependsOn: []int{0}, EstimateMS: 2000, Need: workload.Resources{Accelerators: 1}}}
@@ -33,7 +33,7 @@
 }
 
 func (s *cutOffScenario) renew(worker string, running []RunningRow, ended []EndedRow) {
-	s.c.Held(HoldOrder{Worker: worker, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000, Running: running, Ended: ended}, s.now, s.now)
+	s.c.HandleRenewal(RenewalOrder{Worker: worker, Token: 1}, RenewalAnswer{Result: Accepted, ClockMS: s.now.UnixMilli() - 999_000, Running: running, Ended: ended}, s.now, s.now)
 }
 
 // round runs a round, has all start orders accepted and returns them.
@@ -42,7 +42,7 @@
 	s.c.Changes()
 	out := s.c.Persisted(s.now)
 	for _, o := range out {
-		s.c.Started(o, Answer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000}, s.now)
+		s.c.HandleStartAnswer(o, Answer{Result: Accepted, ClockMS: s.now.UnixMilli() - 999_000}, s.now)
 	}
 	return out
 }
@@ -53,7 +53,7 @@
 
 // expireLease makes the worker unreachable until its lease must have expired.
 func (s *cutOffScenario) expireLease(t *testing.T) {
-	s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Unanswered}, s.now, s.now)
+	s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Unanswered}, s.now, s.now)
 	s.now = s.now.Add(8 * time.Second)
 	s.round()
 	if len(s.c.runs) != 0 {
@@ -72,7 +72,7 @@
 			}
 			s.now = s.now.Add(time.Second)
 			s.expireLease(t)
-			s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndDone}, {Number: 2, Task: s.firstStepTask(1), Run: 1, How: EndDone}})
+			s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, End: EndDone}, {Number: 2, Task: s.firstStepTask(1), Run: 1, End: EndDone}})
 			starts := s.round()
 			if len(starts) != 3 {
 				t.Fatalf("%d of the next step's 3 tasks were started", len(starts))
@@ -96,16 +96,16 @@
 	if n := len(s.round()); n != 2 {
 		t.Fatalf("%d tasks were started again, want 2", n)
 	}
-	s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndDone}, {Number: 2, Task: s.firstStepTask(1), Run: 1, How: EndDone}})
-	if stops := s.c.Stops(); len(stops) != 2 {
+	s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, End: EndDone}, {Number: 2, Task: s.firstStepTask(1), Run: 1, End: EndDone}})
+	if stops := s.c.StopOrders(); len(stops) != 2 {
 		t.Fatalf("%d stop orders, want 2", len(stops))
 	}
 	if n := len(s.round()); n != 3 {
 		t.Fatalf("%d of the next step's 3 tasks were started", n)
 	}
-	s.renew("w1", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 2, How: EndStopped}, {Number: 2, Task: s.firstStepTask(1), Run: 2, How: EndFailed}})
+	s.renew("w1", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 2, End: EndStopped}, {Number: 2, Task: s.firstStepTask(1), Run: 2, End: EndFailed}})
 	for i := range 2 {
-		if task := s.c.jobs[s.id].progress.Find(s.firstStepTask(i)); task.Phase != workload.Done || task.Fails != 0 {
+		if task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(i)); task.Phase != workload.Done || task.Failures != 0 {
 			t.Fatalf("%+v", task)
 		}
 	}
@@ -115,9 +115,9 @@
 // that were ordered.
 func TestOtherLateEndsChangeNothing(t *testing.T) {
 	for name, row := range map[string]EndedRow{
-		"failed":        {Number: 1, Run: 1, How: EndFailed},
-		"lapsed":        {Number: 1, Run: 1, How: EndLapsed},
-		"never ordered": {Number: 1, Run: 7, How: EndDone},
+		"failed":        {Number: 1, Run: 1, End: EndFailed},
+		"lapsed":        {Number: 1, Run: 1, End: EndLapsed},
+		"never ordered": {Number: 1, Run: 7, End: EndDone},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newCutOffScenario(false)
@@ -126,7 +126,7 @@
 			s.expireLease(t)
 			row.Task = s.firstStepTask(0)
 			s.renew("w0", nil, []EndedRow{row})
-			if task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0)); task.Phase == workload.Done || task.Fails != 0 {
+			if task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(0)); task.Phase == workload.Done || task.Failures != 0 {
 				t.Fatalf("%+v", task)
 			}
 		})
--- a/workload/control/late_starts_test.go
+++ b/workload/control/late_starts_test.go
@@ -18,14 +18,14 @@
 	if err := json.Unmarshal(s.log[workload.ProgressKey(jobA)], progress); err != nil {
 		t.Fatal(err)
 	}
-	placed := progress.Find(task)
+	placed := progress.FindTask(task)
 	if placed == nil || placed.Worker == "" {
 		t.Fatal("the task was not placed")
 	}
 	w := s.fleet.Workers[placed.Worker]
 	order := control.StartOrder{Worker: w.ID, Task: task, Run: placed.Run, Spec: s.jobs[jobA].Spec, Token: token, DeadlineMS: w.ClockMS(s.now) + 5000}
-	if a := w.Start(order, s.now); a.Verdict != control.Accepted {
-		t.Fatalf("the worker answered %s", a.Verdict)
+	if a := w.Start(order, s.now); a.Result != control.Accepted {
+		t.Fatalf("the worker answered %s", a.Result)
 	}
 }
 
--- a/workload/control/maintenance.go
+++ b/workload/control/maintenance.go
@@ -14,9 +14,9 @@
 	ID    int64
 	Hosts []string
 	// Within is the time from the wave's declaration within which the maintenance of all hosts
-	// must have begun. Most is the maximum number of hosts that may be down for the wave at once.
-	Within time.Duration
-	Most   int
+	// must have begun. MaxDown is the maximum number of hosts that may be down for the wave at once.
+	Within  time.Duration
+	MaxDown int
 }
 
 // HostListing is a host in the platform's list.
@@ -35,23 +35,23 @@
 	Token int64
 }
 
-// DutyVerdict is the result of a DutyOrder.
-type DutyVerdict string
+// DutyResult is the result of a DutyOrder.
+type DutyResult string
 
 // The results of duty orders.
 const (
 	// DutyBegun: the maintenance has begun, or had begun before.
-	DutyBegun DutyVerdict = "begun"
+	DutyBegun DutyResult = "begun"
 	// DutyBusy: the host is not up, or is shutting down; nothing was done.
-	DutyBusy DutyVerdict = "busy"
+	DutyBusy DutyResult = "busy"
 	// DutyFenced: a newer planner has sent orders for the host.
-	DutyFenced DutyVerdict = "fenced"
-	// DutyForeign: the host does not exist or does not belong to the wave.
-	DutyForeign DutyVerdict = "foreign"
+	DutyFenced DutyResult = "fenced"
+	// DutyUnknownHost: the host does not exist or does not belong to the wave.
+	DutyUnknownHost DutyResult = "foreign"
 	// DutyRefused: nothing was done, for example because of a rate limit.
-	DutyRefused DutyVerdict = "refused"
+	DutyRefused DutyResult = "refused"
 	// DutyUnanswered: the order may have been carried out, or may be later.
-	DutyUnanswered DutyVerdict = "unanswered"
+	DutyUnanswered DutyResult = "unanswered"
 )
 
 // hostPhase is the state of a host in a wave.
@@ -148,11 +148,11 @@
 		v.phases[host] = hostDown
 	}
 	c.waves[declared.ID] = v
-	c.emit(Note{Event: EventWaveTaken, Detail: fmt.Sprintf("wave=%d hosts=%d most=%d within_ms=%d", v.ID, len(v.Hosts), v.Most, v.Within.Milliseconds())})
+	c.emit(Event{Name: EventWaveTaken, Detail: fmt.Sprintf("wave=%d hosts=%d most=%d within_ms=%d", v.ID, len(v.Hosts), v.MaxDown, v.Within.Milliseconds())})
 }
 
-// Hosts replaces the host list by one that was requested at the given time.
-func (c *Core) Hosts(list []HostListing, requested time.Time) {
+// SetHosts replaces the host list by one that was requested at the given time.
+func (c *Core) SetHosts(list []HostListing, requested time.Time) {
 	c.hosts = make(map[string]HostListing, len(list))
 	for _, h := range list {
 		c.hosts[h.Host] = h
@@ -177,8 +177,8 @@
 	}
 }
 
-// WantsHosts reports whether the host list should be read now.
-func (c *Core) WantsHosts(now time.Time) bool {
+// NeedsHosts reports whether the host list should be read now.
+func (c *Core) NeedsHosts(now time.Time) bool {
 	interval := max(c.bounds.Maintenance/4, dutyRetryPause/2)
 	if now.Sub(c.hostsReadAt) < interval {
 		return false
@@ -239,9 +239,9 @@
 // chooseHosts selects the hosts to vacate, those with the least lost work first: as many as may
 // be down at once, and as many again if time is short.
 func (c *Core) chooseHosts(v *wave, now time.Time) {
-	open := v.Most - v.downCount()
+	open := v.MaxDown - v.downCount()
 	if c.slack(v, now) <= 0 {
-		open += v.Most
+		open += v.MaxDown
 	}
 	var waiting []string
 	for _, host := range v.Hosts {
@@ -257,7 +257,7 @@
 	})
 	for _, host := range waiting[:max(0, min(open, len(waiting)))] {
 		v.phases[host] = hostVacating
-		c.emit(Note{Event: EventHostVacated, Worker: c.hosts[host].Worker, Detail: fmt.Sprintf("wave=%d host=%s", v.ID, host)})
+		c.emit(Event{Name: EventHostVacated, Worker: c.hosts[host].Worker, Detail: fmt.Sprintf("wave=%d host=%s", v.ID, host)})
 	}
 }
 
@@ -270,7 +270,7 @@
 			left++
 		}
 	}
-	rounds := (left + max(v.Most, 1) - 1) / max(v.Most, 1)
+	rounds := (left + max(v.MaxDown, 1) - 1) / max(v.MaxDown, 1)
 	elapsed := time.Duration(c.wallMS-v.sinceMS) * time.Millisecond
 	return v.Within - elapsed - time.Duration(rounds)*(c.bounds.Maintenance+dutyMargin)
 }
@@ -302,7 +302,7 @@
 			}
 		}
 	}
-	if (w == nil || len(w.runs) == 0) && v.downCount() < v.Most {
+	if (w == nil || len(w.runs) == 0) && v.downCount() < v.MaxDown {
 		v.phases[host] = hostOrdered
 		v.dirty = true
 	}
@@ -345,9 +345,9 @@
 	c.unpersistedDuties = nil
 }
 
-// Duties returns the orders that are due. A new planner sends none until the duty lease of its
+// DutyOrders returns the orders that are due. A new planner sends none until the duty lease of its
 // predecessor must have expired.
-func (c *Core) Duties(now time.Time) []DutyOrder {
+func (c *Core) DutyOrders(now time.Time) []DutyOrder {
 	var out []DutyOrder
 	if now.Before(c.dutiesAllowedFrom) {
 		return nil
@@ -365,16 +365,16 @@
 	return out
 }
 
-// DutyDone handles the answer to a DutyOrder.
-func (c *Core) DutyDone(o DutyOrder, verdict DutyVerdict, now time.Time) {
+// HandleDutyAnswer handles the answer to a DutyOrder.
+func (c *Core) HandleDutyAnswer(o DutyOrder, result DutyResult, now time.Time) {
 	v := c.waves[o.Wave]
 	if v == nil {
 		return
 	}
 	v.inFlight[o.Host] = false
 	v.notBefore[o.Host] = now.Add(dutyRetryPause)
-	c.emit(Note{Event: EventDutyAnswered, Why: string(verdict), Detail: fmt.Sprintf("wave=%d host=%s", o.Wave, o.Host)})
-	switch verdict {
+	c.emit(Event{Name: EventDutyAnswered, Reason: string(result), Detail: fmt.Sprintf("wave=%d host=%s", o.Wave, o.Host)})
+	switch result {
 	case DutyBegun:
 		v.phases[o.Host] = hostDown
 		v.begunAt[o.Host] = now
@@ -382,7 +382,7 @@
 		v.dirty = true
 	case DutyFenced:
 		c.deposed = true
-	case DutyForeign:
+	case DutyUnknownHost:
 		v.phases[o.Host] = hostDone
 		v.dirty = true
 	case DutyUnanswered:
--- a/workload/control/maintenance_test.go
+++ b/workload/control/maintenance_test.go
@@ -44,7 +44,7 @@
 
 func newMaintenanceScenario(hosts, maxDown int) *maintenanceScenario {
 	m := &maintenanceScenario{now: time.Unix(1000, 0), downUntil: map[string]time.Time{}, maintained: map[string]bool{}, ordered: map[string]bool{}}
-	m.wave = control.Wave{ID: 7, Within: 20 * time.Second, Most: maxDown}
+	m.wave = control.Wave{ID: 7, Within: 20 * time.Second, MaxDown: maxDown}
 	for i := range hosts {
 		m.wave.Hosts = append(m.wave.Hosts, fmt.Sprintf("h%d", i))
 	}
@@ -102,10 +102,10 @@
 // log. Duty orders that it sends nevertheless arrive late.
 func (m *maintenanceScenario) crashBeforePersisting() {
 	m.now = m.now.Add(100 * time.Millisecond)
-	m.core.Hosts(m.hostListings(), m.now)
+	m.core.SetHosts(m.hostListings(), m.now)
 	m.core.Round(m.now, m.now.UnixMilli())
 	m.core.Changes()
-	m.delayedOrders = append(m.delayedOrders, m.core.Duties(m.now)...)
+	m.delayedOrders = append(m.delayedOrders, m.core.DutyOrders(m.now)...)
 }
 
 // A wave must not take down more hosts at once than allowed, or be reported as completed too
@@ -116,11 +116,11 @@
 		m := newMaintenanceScenario(rapid.IntRange(1, 6).Draw(t, "hosts"), maxDown)
 		for step := range 400 {
 			m.now = m.now.Add(100 * time.Millisecond)
-			if m.core.WantsHosts(m.now) {
-				m.core.Hosts(m.hostListings(), m.now)
+			if m.core.NeedsHosts(m.now) {
+				m.core.SetHosts(m.hostListings(), m.now)
 			}
 			m.runRound()
-			for _, o := range m.core.Duties(m.now) {
+			for _, o := range m.core.DutyOrders(m.now) {
 				// In the second half all orders are answered, so that the wave can complete.
 				outcome := 3
 				if step < 200 {
@@ -129,15 +129,15 @@
 				switch outcome {
 				case 0:
 					m.delayedOrders = append(m.delayedOrders, o)
-					m.core.DutyDone(o, control.DutyUnanswered, m.now)
+					m.core.HandleDutyAnswer(o, control.DutyUnanswered, m.now)
 				case 1:
 					m.startMaintenance(o.Host)
-					m.core.DutyDone(o, control.DutyUnanswered, m.now)
+					m.core.HandleDutyAnswer(o, control.DutyUnanswered, m.now)
 				case 2:
-					m.core.DutyDone(o, control.DutyRefused, m.now)
+					m.core.HandleDutyAnswer(o, control.DutyRefused, m.now)
 				default:
 					m.startMaintenance(o.Host)
-					m.core.DutyDone(o, control.DutyBegun, m.now)
+					m.core.HandleDutyAnswer(o, control.DutyBegun, m.now)
 				}
 			}
 			if len(m.delayedOrders) > 0 && (step >= 200 || rapid.IntRange(0, 9).Draw(t, "arrives") == 0) {
@@ -172,11 +172,11 @@
 	s.advance(time.Second)
 	core := s.planners[0].core
 	list := s.hostListings()
-	core.AdoptWave(control.Wave{ID: 1, Hosts: hostNames(list), Within: 30 * time.Second, Most: 1}, nil, s.now.UnixMilli())
-	core.Hosts(list, s.now)
+	core.AdoptWave(control.Wave{ID: 1, Hosts: hostNames(list), Within: 30 * time.Second, MaxDown: 1}, nil, s.now.UnixMilli())
+	core.SetHosts(list, s.now)
 	for range 300 {
 		s.advance(20 * time.Millisecond)
-		for _, o := range core.Duties(s.now) {
+		for _, o := range core.DutyOrders(s.now) {
 			if n := s.fleet.Workers[o.Host[1:]].Running(); n > 0 {
 				t.Fatalf("%s has %d runs when its maintenance is ordered", o.Host, n)
 			}
@@ -189,13 +189,13 @@
 func TestWaveDoesNotWaitForRemovedHost(t *testing.T) {
 	m := newMaintenanceScenario(2, 1)
 	m.now = m.now.Add(time.Second)
-	m.core.Hosts(m.hostListings()[:1], m.now)
+	m.core.SetHosts(m.hostListings()[:1], m.now)
 	for range 40 {
 		m.now = m.now.Add(100 * time.Millisecond)
 		m.runRound()
-		for _, o := range m.core.Duties(m.now) {
+		for _, o := range m.core.DutyOrders(m.now) {
 			m.startMaintenance(o.Host)
-			m.core.DutyDone(o, control.DutyBegun, m.now)
+			m.core.HandleDutyAnswer(o, control.DutyBegun, m.now)
 		}
 	}
 	reports := m.core.WaveReports()
@@ -210,13 +210,13 @@
 	m := newMaintenanceScenario(1, 1)
 	for range 60 {
 		m.now = m.now.Add(100 * time.Millisecond)
-		if m.core.WantsHosts(m.now) {
-			m.core.Hosts(m.hostListings(), m.now)
+		if m.core.NeedsHosts(m.now) {
+			m.core.SetHosts(m.hostListings(), m.now)
 		}
 		m.runRound()
-		for _, o := range m.core.Duties(m.now) {
+		for _, o := range m.core.DutyOrders(m.now) {
 			m.startMaintenance(o.Host)
-			m.core.DutyDone(o, control.DutyBegun, m.now)
+			m.core.HandleDutyAnswer(o, control.DutyBegun, m.now)
 		}
 	}
 	if reports := m.core.WaveReports(); len(reports) != 1 || reports[0].State != control.WaveCompleted {
--- a/workload/control/mutants_test.go
+++ b/workload/control/mutants_test.go
@@ -48,22 +48,22 @@
 // token returns the token that an order carries.
 func (m mutant) token(token int64) int64 {
 	if m.constantTokens {
-		return control.Claim(token) << 20
+		return control.ClaimToken(token) << 20
 	}
 	return token
 }
 
 // alterAnswer returns the answer to a lease renewal as the planner receives it.
-func (m mutant) alterAnswer(a control.HoldAnswer, now time.Time) control.HoldAnswer {
+func (m mutant) alterAnswer(a control.RenewalAnswer, now time.Time) control.RenewalAnswer {
 	if m.anonymousIncarnations {
-		a.Born = 0
+		a.StartMS = 0
 		a.ClockMS = now.UnixMilli()
 	}
 	return a
 }
 
 // alterVerdict returns the result of an order as the planner receives it.
-func (m mutant) alterVerdict(verdict, otherwise control.Verdict) control.Verdict {
+func (m mutant) alterVerdict(verdict, otherwise control.Result) control.Result {
 	if m.trustSilence && verdict == control.Unanswered {
 		return otherwise
 	}
