--- a/workload/control/orders.go
+++ b/workload/control/orders.go
@@ -26,35 +26,35 @@
 	r.incarnation, r.token = r.worker.number, r.worker.token
 	r.worker.lastOrderToken = r.token
 	return StartOrder{
-		Worker: r.worker.ID, Address: r.worker.Address, Life: r.worker.number, Task: r.id, Run: r.run, Spec: r.job.Spec,
-		Saved: r.saved, Ticket: c.ticketFor(r), DeadlineMS: c.nextDeadline(r.worker, now), Token: r.worker.token, Try: r.attempts,
+		Worker: r.worker.ID, Address: r.worker.Address, Incarnation: r.worker.number, Task: r.id, Run: r.run, Spec: r.job.Spec,
+		Checkpoint: r.saved, Ticket: c.ticketFor(r), DeadlineMS: c.nextDeadline(r.worker, now), Token: r.worker.token, Try: r.attempts,
 		To: r.worker.recipient(now),
 	}
 }
 
 func newStopOrder(w *worker, task workload.TaskID, run int64) StopOrder {
-	return StopOrder{Worker: w.ID, Address: w.Address, Life: w.number, Task: task, Run: run, Token: w.token}
+	return StopOrder{Worker: w.ID, Address: w.Address, Incarnation: w.number, Task: task, Run: run, Token: w.token}
 }
 
-// Started handles the answer to a start order.
-func (c *Core) Started(order StartOrder, answer Answer, now time.Time) {
+// HandleStartAnswer handles the answer to a start order.
+func (c *Core) HandleStartAnswer(order StartOrder, answer Answer, now time.Time) {
 	r := c.runs[order.Task]
 	w := c.workers[order.Worker]
-	if w != nil && order.Life == w.number {
+	if w != nil && order.Incarnation == w.number {
 		c.readClock(w, answer.ClockMS, now)
-		w.newestConnection = max(w.newestConnection, answer.Connections)
+		w.newestConnection = max(w.newestConnection, answer.NewestConnection)
 	}
-	if w != nil && answer.Verdict == Unanswered {
+	if w != nil && answer.Result == Unanswered {
 		c.recordStrayOrder(w, now)
 	}
 	if r == nil || r.run != order.Run || r.worker != w {
 		return
 	}
-	if order.Life != w.number && answer.Verdict != Fenced {
+	if order.Incarnation != w.number && answer.Result != Fenced {
 		// What the next incarnation lists shows the result.
 		return
 	}
-	switch answer.Verdict {
+	switch answer.Result {
 	case Accepted:
 		c.recordAnswer(w, r.sentAt)
 		r.answered = true
@@ -73,10 +73,10 @@
 		c.handleSuperseded(r, now)
 	case Unanswered:
 		c.handleUnanswered(r, now)
-	case Unreached:
+	case Unreachable:
 		c.handleUnreached(r, now)
 	default:
-		c.handleRefused(r, answer.Verdict, now)
+		c.handleRefused(r, answer.Result, now)
 	}
 }
 
@@ -93,12 +93,12 @@
 // repeated until the worker answers or its lease must have expired. A gang that waits for one
 // member is stopped before the other members time out.
 func (c *Core) handleUnanswered(r *activeRun, now time.Time) {
-	c.emit(Note{Event: EventStartUnanswered, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run})
+	c.emit(Event{Name: EventStartUnanswered, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run})
 	c.markSilent(r.worker, now)
 	c.recordNoAnswer(r.worker, r.sentAt, now)
 	r.retryAt = now.Add(orderRetryPause)
 	if r.step.Gang && now.Sub(r.orderedAt) > c.bounds.GangTimeout/3 {
-		c.stopGang(r, EndAlone, "")
+		c.stopGang(r, EndGangIncomplete, "")
 	}
 }
 
@@ -109,7 +109,7 @@
 		c.handleUnanswered(r, now)
 		return
 	}
-	c.emit(Note{Event: EventStartRefused, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Why: string(Unreached)})
+	c.emit(Event{Name: EventStartRefused, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Reason: string(Unreachable)})
 	c.markSilent(r.worker, now)
 	c.recordNoAnswer(r.worker, r.sentAt, now)
 	r.unstarted = true
@@ -118,15 +118,15 @@
 
 // handleRefused handles a start that the worker refused without any effect. The order has no
 // later effect either once the worker has accepted a stop of the run.
-func (c *Core) handleRefused(r *activeRun, verdict Verdict, now time.Time) {
-	c.emit(Note{Event: EventStartRefused, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Why: string(verdict)})
-	if verdict == Unhealthy {
+func (c *Core) handleRefused(r *activeRun, result Result, now time.Time) {
+	c.emit(Event{Name: EventStartRefused, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Reason: string(result)})
+	if result == Unhealthy {
 		r.worker.trust.recordRefusal(now)
 	}
-	if verdict == Full {
+	if result == Full {
 		r.worker.trust.recordFull(now)
 	}
-	if verdict == NoTicket {
+	if result == NoTicket {
 		c.dropTicket(r)
 	}
 	if r.attempts == 1 {
@@ -135,7 +135,7 @@
 		return
 	}
 	// An earlier attempt was not answered and may still be carried out.
-	c.stop(r, "refused-"+string(verdict))
+	c.stop(r, "refused-"+string(result))
 }
 
 // stop orders a worker to stop a run, and to refuse its start if that arrives later.
@@ -145,7 +145,7 @@
 	}
 	if c.inBatch(r) {
 		// The run has not been ordered and will not be.
-		c.emit(Note{Event: EventRunWithdrawn, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Why: reason})
+		c.emit(Event{Name: EventRunWithdrawn, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Reason: reason})
 		r.unstarted = true
 		c.settleRun(r, EndStopped, "")
 		return
@@ -156,20 +156,20 @@
 	if !r.settled {
 		detail = fmt.Sprintf("core_s=%.1f", c.lostWork(r, c.roundAt))
 	}
-	c.emit(Note{Event: EventRunStopping, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Why: reason, Detail: detail})
+	c.emit(Event{Name: EventRunStopping, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Reason: reason, Detail: detail})
 	c.pendingStops = append(c.pendingStops, newStopOrder(r.worker, r.id, r.run))
 }
 
-// Stopped handles the answer to a stop order.
-func (c *Core) Stopped(order StopOrder, answer Answer, now time.Time) {
+// HandleStopAnswer handles the answer to a stop order.
+func (c *Core) HandleStopAnswer(order StopOrder, answer Answer, now time.Time) {
 	w := c.workers[order.Worker]
 	if w == nil {
 		return
 	}
-	if order.Life == w.number {
+	if order.Incarnation == w.number {
 		c.readClock(w, answer.ClockMS, now)
 	}
-	switch answer.Verdict {
+	switch answer.Result {
 	case Fenced:
 		c.handleFenced(w, order.Token)
 	case Gone:
@@ -180,23 +180,23 @@
 	if r == nil || r.run != order.Run || r.worker != w {
 		return
 	}
-	if order.Life != w.number || answer.Verdict == Fenced {
+	if order.Incarnation != w.number || answer.Result == Fenced {
 		r.retryAt = now
 		return
 	}
-	if answer.Verdict == Accepted {
+	if answer.Result == Accepted {
 		r.stopAccepted = true
 		r.stopAcceptedAt = now
 		return
 	}
 	r.retryAt = now.Add(stopRetryPause)
-	if answer.Verdict == Unanswered || answer.Verdict == Unreached {
+	if answer.Result == Unanswered || answer.Result == Unreachable {
 		c.markSilent(w, now)
 	}
 }
 
-// Due returns the start orders that are to be repeated, and queues repeated stop orders.
-func (c *Core) Due(now time.Time) []StartOrder {
+// RetryOrders returns the start orders that are to be repeated, and queues repeated stop orders.
+func (c *Core) RetryOrders(now time.Time) []StartOrder {
 	var out []StartOrder
 	for _, r := range c.allRuns() {
 		if r.retryAt.IsZero() || now.Before(r.retryAt) {
@@ -235,11 +235,11 @@
 	}
 }
 
-func (c *Core) terms(j *job) workload.Terms {
+func (c *Core) terms(j *job) workload.QueueSettings {
 	if t, ok := c.config.Queues[j.Queue]; ok {
 		return t
 	}
-	return j.Terms
+	return j.QueueSettings
 }
 
 func (c *Core) guaranteedJobs() map[workload.JobID]bool {
@@ -260,9 +260,9 @@
 
 // countsAgainstGuarantee reports whether a job counts against its account's guarantee.
 func (c *Core) countsAgainstGuarantee(j *job) bool {
-	return !j.cancelled && !j.progress.State.Final() && c.terms(j).Priority == 0
+	return !j.cancelled && !j.progress.State.IsFinal() && c.terms(j).Priority == 0
 }
 
 func unitKey(id workload.JobID, k, step int) decide.UnitKey {
-	return decide.UnitKey{Job: id, K: k, Step: step}
+	return decide.UnitKey{Job: id, Occurrence: k, Step: step}
 }
--- a/workload/control/outage_bench_test.go
+++ b/workload/control/outage_bench_test.go
@@ -10,9 +10,9 @@
 // restartAll has every worker answer as a new incarnation on which nothing runs.
 func (c *loadedPool) restartAll(workers int) {
 	for i := range workers {
-		order := control.HoldOrder{Worker: fmt.Sprintf("%016x", i*7919), Address: fmt.Sprint(i), Life: 1, Token: poolToken << 20}
-		c.core.Held(order, control.HoldAnswer{Verdict: control.Unanswered}, c.now, c.now)
-		c.core.Held(order, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 1, Born: c.now.UnixMilli()}, c.now, c.now)
+		order := control.RenewalOrder{Worker: fmt.Sprintf("%016x", i*7919), Address: fmt.Sprint(i), Incarnation: 1, Token: poolToken << 20}
+		c.core.HandleRenewal(order, control.RenewalAnswer{Result: control.Unanswered}, c.now, c.now)
+		c.core.HandleRenewal(order, control.RenewalAnswer{Result: control.Accepted, ClockMS: 1, StartMS: c.now.UnixMilli()}, c.now, c.now)
 	}
 	c.runs = map[string][]control.RunningRow{}
 }
--- a/workload/control/outages.go
+++ b/workload/control/outages.go
@@ -22,10 +22,10 @@
 	outageLeast    = 6
 	unsettledLeast = 3
 	// outageSpanWaits is how far apart the crashes of one outage are noticed at most, in units of
-	// Bounds.Wait.
+	// Bounds.PollWait.
 	outageSpanWaits = 2
 	// calmWaits is how long the pool has to be without an outage before a crash is evidence
-	// against a task, in units of Bounds.Wait. It is longer than it takes to notice an outage.
+	// against a task, in units of Bounds.PollWait. It is longer than it takes to notice an outage.
 	calmWaits = 4
 )
 
@@ -133,7 +133,7 @@
 // isInOutage reports whether a worker fell silent together with many workers that never ran the
 // job.
 func (c *Core) isInOutage(silentAt time.Time, job workload.JobID) bool {
-	return c.crashHistory.countAround(silentAt, job, outageSpanWaits*c.bounds.Wait) >= max(outageLeast, c.aliveCount/outageShare)
+	return c.crashHistory.countAround(silentAt, job, outageSpanWaits*c.bounds.PollWait) >= max(outageLeast, c.aliveCount/outageShare)
 }
 
 // reweighCrashes excludes the crashes that turned out to be part of an outage.
@@ -161,7 +161,7 @@
 	if j == nil {
 		return
 	}
-	if t := j.progress.Find(id); t != nil && t.Evidence() > 0 {
+	if t := j.progress.FindTask(id); t != nil && t.Evidence() > 0 {
 		t.Excluded++
 		c.markDirty(j)
 	}
@@ -176,7 +176,7 @@
 	if t.TotalCrashes() < isolateAfterCrashes {
 		return true
 	}
-	quietPeriod := calmWaits * c.bounds.Wait
+	quietPeriod := calmWaits * c.bounds.PollWait
 	if t.TotalCrashes() > isolateAfterCrashes && !step.Perpetual {
 		quietPeriod *= 2
 	}
@@ -202,6 +202,6 @@
 		u.Indexes = slices.DeleteFunc(u.Indexes, unsettled)
 	}
 	j.waitedUnsettledAt = now
-	c.emitWaitReason(u.Key, j, decide.PoolUnsettled)
+	c.emitWaitReason(u.Key, j, decide.PoolUnstable)
 	return len(u.Indexes) > 0
 }
--- a/workload/control/outages_test.go
+++ b/workload/control/outages_test.go
@@ -40,8 +40,8 @@
 func TestCrashIsExcludedOnceItsOutageIsNoticed(t *testing.T) {
 	s := newCutOffScenario(false)
 	s.round()
-	s.c.Held(HoldOrder{Worker: "w0", Token: 1}, HoldAnswer{Verdict: Gone}, s.now, s.now)
-	task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
+	s.c.HandleRenewal(RenewalOrder{Worker: "w0", Token: 1}, RenewalAnswer{Result: Gone}, s.now, s.now)
+	task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(0))
 	if task.Crashes != 1 || task.Evidence() != 1 {
 		t.Fatalf("%d crashes, of which %d are evidence against the task", task.Crashes, task.Evidence())
 	}
@@ -76,7 +76,7 @@
 			s.c.Round(s.now, s.now.UnixMilli())
 			for i := range j.progress.Open[0].Steps[0] {
 				s.c.settleRun(s.c.runs[s.firstStepTask(i)], EndStopped, "")
-				*j.progress.Find(s.firstStepTask(i)) = workload.Task{Run: 1, Crashes: c.crashes, CrashMS: 2000, CrashRun: 1, Excluded: c.crashes}
+				*j.progress.FindTask(s.firstStepTask(i)) = workload.Task{Run: 1, Crashes: c.crashes, CrashMS: 2000, CrashRun: 1, Excluded: c.crashes}
 			}
 			j.suspected = true
 			s.c.pendingStarts = nil
@@ -108,14 +108,14 @@
 		s.c.settleRun(s.c.runs[s.firstStepTask(i)], EndStopped, "")
 	}
 	s.c.pendingStarts = nil
-	*j.progress.Find(s.firstStepTask(0)) = workload.Task{Run: 1, Crashes: 2, CrashMS: 100, CrashRun: 1, Excluded: 2}
+	*j.progress.FindTask(s.firstStepTask(0)) = workload.Task{Run: 1, Crashes: 2, CrashMS: 100, CrashRun: 1, Excluded: 2}
 	j.suspected = true
 	s.now = s.now.Add(time.Minute)
 	j.waitedUnsettledAt = s.now
 	snapshot, _ := s.c.snapshot(s.now, s.now.UnixMilli())
 	isolated := 0
 	for _, u := range snapshot.Waiting {
-		if u.Suspect && u.Alone && len(u.Indexes) == 1 && u.Indexes[0] == 0 {
+		if u.Suspect && u.Exclusive && len(u.Indexes) == 1 && u.Indexes[0] == 0 {
 			isolated++
 		}
 	}
@@ -129,9 +129,9 @@
 func TestExcludedCrashCountsTowardsRunLimit(t *testing.T) {
 	s := newCutOffScenario(true)
 	s.round()
-	task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
+	task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(0))
 	*task = workload.Task{Phase: workload.Placed, Worker: "w0", Run: 1, Crashes: maxCrashes, Excluded: maxCrashes, CrashMS: 2000}
-	s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, How: EndBroken}})
+	s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: 1, End: EndBroken}})
 	if state := s.c.jobs[s.id].progress.State; state != workload.Failed {
 		t.Errorf("the job is %s after a run that followed %d crashes", state, maxCrashes)
 	}
@@ -155,10 +155,10 @@
 		t.Run(fmt.Sprintf("%d crashes, %d exonerated, run %d", c.crashes, c.exonerated, c.run), func(t *testing.T) {
 			s := newCutOffScenario(true)
 			s.round()
-			task := s.c.jobs[s.id].progress.Find(s.firstStepTask(0))
+			task := s.c.jobs[s.id].progress.FindTask(s.firstStepTask(0))
 			*task = workload.Task{Phase: workload.Placed, Worker: "w0", Run: c.run, Crashes: c.crashes, Exonerated: c.exonerated, CrashMS: 2000, CrashRun: 3}
 			s.c.runs[s.firstStepTask(0)].run = c.run
-			s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: c.run, How: EndBroken}})
+			s.renew("w0", nil, []EndedRow{{Number: 1, Task: s.firstStepTask(0), Run: c.run, End: EndBroken}})
 			if state := s.c.jobs[s.id].progress.State; state != c.want {
 				t.Errorf("the job is %s, want %s", state, c.want)
 			}
@@ -174,8 +174,8 @@
 	j, r := s.c.jobs[s.id], s.c.runs[id]
 	other := workload.TaskID{Job: "00000000000000bb"}
 	for run := int64(1); run <= maxCrashes+1; run++ {
-		task := j.progress.Find(id)
-		if task == nil || j.progress.State.Final() {
+		task := j.progress.FindTask(id)
+		if task == nil || j.progress.State.IsFinal() {
 			t.Fatalf("the job failed before run %d", run)
 		}
 		task.Run, r.run = run, run
--- a/workload/control/outcome.go
+++ b/workload/control/outcome.go
@@ -39,13 +39,13 @@
 // emitCompletion emits the completion of a job and how that compares with its objective, unless
 // an earlier planner saw some of its runs.
 func (c *Core) emitCompletion(j *job) {
-	event := Note{Event: EventJobCompleted, Job: j.ID}
+	event := Event{Name: EventJobCompleted, Job: j.ID}
 	if !j.dueAt.IsZero() && !j.inherited {
 		took := c.roundAt.Sub(j.dueAt)
 		ran := j.longestRunChain()
 		terms := c.terms(j)
 		objective := time.Duration(terms.Stretch*float64(ran)) + time.Duration(terms.TargetMS)*time.Millisecond
-		event.Why = string(compareWithObjective(took, objective))
+		event.Reason = string(compareWithObjective(took, objective))
 		event.Detail = fmt.Sprintf("queue=%s took_ms=%d worked_ms=%d objective_ms=%d", j.Queue, took.Milliseconds(), ran.Milliseconds(), objective.Milliseconds())
 	}
 	c.emit(event)
--- a/workload/control/pool.go
+++ b/workload/control/pool.go
@@ -35,24 +35,25 @@
 	delete(c.unlisted, id)
 }
 
-// List replaces the worker list. A worker that is no longer listed may be cut off and still
+// SetWorkers replaces the worker list. A worker that is no longer listed may be cut off and still
 // running.
-func (c *Core) List(list []Listing, now time.Time) {
+func (c *Core) SetWorkers(list []Listing, now time.Time) {
 	present := make(map[string]bool, len(list))
 	for _, l := range list {
 		present[l.ID] = true
-		c.ListOne(l, now)
+		c.UpdateWorker(l, now)
 	}
 	for _, w := range c.workersByID {
 		if !present[w.ID] {
-			c.Unlist(w.ID, now)
+			c.RemoveWorker(w.ID, now)
 		}
 	}
-	c.Sweep(now)
+	c.SettleUnlisted(now)
 }
 
-// ListOne updates one entry of the worker list. Sweep must be called after ListOne and Unlist.
-func (c *Core) ListOne(l Listing, now time.Time) {
+// UpdateWorker updates one entry of the worker list. SettleUnlisted must be called after
+// UpdateWorker and RemoveWorker.
+func (c *Core) UpdateWorker(l Listing, now time.Time) {
 	w := c.workerFor(l.ID)
 	if w.listed && w.Address != l.Address {
 		c.releaseAddress(w)
@@ -61,14 +62,14 @@
 		w.listed, w.departed = true, false
 		c.listedCount++
 		delete(c.unlisted, l.ID)
-		c.emit(Note{Event: EventWorkerListed, Worker: l.ID, Detail: l.Rack})
+		c.emit(Event{Name: EventWorkerListed, Worker: l.ID, Detail: l.Rack})
 	}
 	c.idsByAddress[l.Address] = l.ID
 	c.takeListing(w, l, now)
 }
 
-// Unlist records that a worker's entry was removed from the list.
-func (c *Core) Unlist(id string, now time.Time) {
+// RemoveWorker records that a worker's entry was removed from the list.
+func (c *Core) RemoveWorker(id string, now time.Time) {
 	w := c.workers[id]
 	if w == nil {
 		return
@@ -82,7 +83,7 @@
 	w.departed = c.hasLeft(w, now)
 	c.listedCount--
 	c.releaseAddress(w)
-	c.emit(Note{Event: EventWorkerUnlisted, Worker: id, Detail: w.removalDetail(now)})
+	c.emit(Event{Name: EventWorkerUnlisted, Worker: id, Detail: w.removalDetail(now)})
 }
 
 // releaseAddress records that a worker is no longer listed at its address.
@@ -92,9 +93,9 @@
 	}
 }
 
-// Sweep settles the runs of workers that are not listed: they are lost if another worker is
-// listed at the address. Workers without runs are forgotten.
-func (c *Core) Sweep(now time.Time) {
+// SettleUnlisted settles the runs of workers that are not listed: they are lost if another worker
+// is listed at the address. Workers without runs are forgotten.
+func (c *Core) SettleUnlisted(now time.Time) {
 	if len(c.unlisted) == 0 {
 		return
 	}
--- a/workload/control/pool_test.go
+++ b/workload/control/pool_test.go
@@ -40,15 +40,15 @@
 				}
 				list[id] = Listing{ID: id, Address: fmt.Sprint("a", rapid.IntRange(0, 3).Draw(t, "address")), Rack: "r", Labels: []string{fmt.Sprint("l", rapid.IntRange(0, 1).Draw(t, "label"))}}
 			}
-			full.List(slices.Collect(maps.Values(list)), now)
+			full.SetWorkers(slices.Collect(maps.Values(list)), now)
 			for _, id := range slices.Sorted(maps.Keys(changed)) {
 				if l, ok := list[id]; ok {
-					incremental.ListOne(l, now)
+					incremental.UpdateWorker(l, now)
 				} else {
-					incremental.Unlist(id, now)
+					incremental.RemoveWorker(id, now)
 				}
 			}
-			incremental.Sweep(now)
+			incremental.SettleUnlisted(now)
 			if diff := cmp.Diff(describeWorkers(full), describeWorkers(incremental)); diff != "" {
 				t.Fatalf("full list (-), entry by entry (+):\n%s", diff)
 			}
@@ -93,23 +93,23 @@
 // pool.
 func TestIdlePollDoesNotAllocate(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	c := New(Bounds{Wait: time.Second}, 1, now)
+	c := New(Bounds{PollWait: time.Second}, 1, now)
 	for i := range 2000 {
-		c.ListOne(Listing{ID: fmt.Sprint(i), Address: fmt.Sprint(i), DataCentre: "d"}, now)
+		c.UpdateWorker(Listing{ID: fmt.Sprint(i), Address: fmt.Sprint(i), DataCentre: "d"}, now)
 	}
 	for range 2000 / maxFirstPolls {
-		for _, id := range c.NeedsHold(now) {
-			o, _ := c.Hold(id, now)
-			c.Held(o, HoldAnswer{Verdict: Accepted, ClockMS: 1}, now, now)
+		for _, id := range c.WorkersToRenew(now) {
+			o, _ := c.NextRenewal(id, now)
+			c.HandleRenewal(o, RenewalAnswer{Result: Accepted, ClockMS: 1}, now, now)
 		}
 	}
-	c.Notes()
+	c.Events()
 	later := now.Add(time.Second)
 	if n := testing.AllocsPerRun(10, func() {
-		if len(c.NeedsHold(later)) > 0 {
+		if len(c.WorkersToRenew(later)) > 0 {
 			t.Error("a lease renewal is due")
 		}
-		c.Sweep(later)
+		c.SettleUnlisted(later)
 	}); n > 0 {
 		t.Fatalf("%v allocations, want 0", n)
 	}
@@ -119,18 +119,18 @@
 // must be in the first one.
 func TestNewPlannerPollsWorkersWithRunsFirst(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	c := New(Bounds{Wait: time.Second}, 1, now)
+	c := New(Bounds{PollWait: time.Second}, 1, now)
 	step := &workload.Step{Count: 1}
 	for i := range 4 * maxFirstPolls {
 		id := fmt.Sprintf("%05d", i)
-		c.ListOne(Listing{ID: id, Address: id, DataCentre: "d"}, now)
+		c.UpdateWorker(Listing{ID: id, Address: id, DataCentre: "d"}, now)
 		if i%4 == 3 {
 			c.workers[id].runs[workload.TaskID{Index: i}] = &activeRun{worker: c.workers[id], step: step}
 		}
 	}
 	polled, withRuns := 0, 0
-	for _, id := range c.NeedsHold(now) {
-		if _, ok := c.Hold(id, now); ok {
+	for _, id := range c.WorkersToRenew(now) {
+		if _, ok := c.NextRenewal(id, now); ok {
 			polled++
 			withRuns += len(c.workers[id].runs)
 		}
@@ -139,8 +139,8 @@
 		t.Fatalf("%d workers in the first round of polls, %d of them with runs", polled, withRuns)
 	}
 	for range 2 {
-		for _, id := range c.NeedsHold(now) {
-			if _, ok := c.Hold(id, now); ok {
+		for _, id := range c.WorkersToRenew(now) {
+			if _, ok := c.NextRenewal(id, now); ok {
 				polled++
 			}
 		}
--- a/workload/control/predecessor_starts_test.go
+++ b/workload/control/predecessor_starts_test.go
@@ -40,7 +40,7 @@
 		if e.Task.Job != jobA {
 			continue
 		}
-		if e.How == "" {
+		if e.End == "" {
 			ran -= e.At.Sub(s.now)
 		} else {
 			ran += e.At.Sub(s.now)
--- a/workload/control/reduced_acceptance_test.go
+++ b/workload/control/reduced_acceptance_test.go
@@ -16,7 +16,7 @@
 	if err := book.Fold(0, workload.AcceptedKey(id), []byte(`{"reduced":true,"id":"00000000000000bb","queue":"q"}`)); err != nil {
 		t.Fatal(err)
 	}
-	book.All(s.c.Adopt)
+	book.ForEach(s.c.Adopt)
 	for range 3 {
 		s.c.Round(s.now, s.now.UnixMilli())
 		for _, r := range s.c.Changes() {
--- a/workload/control/registry_test.go
+++ b/workload/control/registry_test.go
@@ -102,7 +102,7 @@
 	worker := sim.fleet.Workers[id]
 	sent := time.Duration(sim.rng.Intn(300)) * time.Millisecond
 	return control.Listing{
-		ID: id, Address: id, Rack: racks[id[len(id)-1]%2], Capacity: worker.Capacity, Born: worker.Born,
+		ID: id, Address: id, Rack: racks[id[len(id)-1]%2], Capacity: worker.Capacity, StartMS: worker.StartMS,
 		ClockMS: worker.ClockMS(sim.now.Add(-sent)), Draining: sim.drainRemainingMS[id] > 0, RemainingMS: sim.drainRemainingMS[id],
 	}
 }
@@ -133,14 +133,14 @@
 // updateList passes the list to a planner as it reads it now.
 func (sim *simulation) updateList(p *planner) {
 	if sim.registry == nil {
-		p.core.List(sim.listings(), sim.now)
+		p.core.SetWorkers(sim.listings(), sim.now)
 		return
 	}
 	if p.seenGaps != sim.registry.gaps && !sim.mutant.hiddenGaps {
 		p.seenGaps = sim.registry.gaps
-		p.core.ListInterrupted(sim.now)
+		p.core.RecordListGap(sim.now)
 	}
-	p.core.List(sim.registry.currentList(sim), sim.now)
+	p.core.SetWorkers(sim.registry.currentList(sim), sim.now)
 }
 
 // currentList returns the list as it was last read.
@@ -171,8 +171,8 @@
 }
 
 // checkDeparture checks that a worker which a planner reports as having left is not running.
-func (sim *simulation) checkDeparture(n control.Note) {
-	if n.Event != control.EventWorkerGone || n.Why != "worker-left" {
+func (sim *simulation) checkDeparture(n control.Event) {
+	if n.Name != control.EventWorkerGone || n.Reason != "worker-left" {
 		return
 	}
 	sim.departures++
--- a/workload/control/removals.go
+++ b/workload/control/removals.go
@@ -15,9 +15,9 @@
 // worker has left. An entry that expires is at least one heartbeat older.
 const departureHeartbeats = 2
 
-// ListInterrupted records that removals up to now may have been missed or may have other causes,
+// RecordListGap records that removals up to now may have been missed or may have other causes,
 // because the list was not read for a while or is read from the start.
-func (c *Core) ListInterrupted(now time.Time) { c.listContinuousSince = now }
+func (c *Core) RecordListGap(now time.Time) { c.listContinuousSince = now }
 
 // updateClockAnchor records a reading of the worker's clock by a call that was sent at the given
 // time. The clock showed it no sooner. The reading that gives the tightest bound is kept.
@@ -33,7 +33,7 @@
 // entryWrittenAfter returns the earliest time at which the worker can have written its newest
 // entry, computed from the clock reading in the entry. ok is false if that is unknown.
 func (w *worker) entryWrittenAfter() (at time.Time, ok bool) {
-	if w.restartSuspected || w.anchorAt.IsZero() || w.ClockMS == 0 || w.Born != w.startMS {
+	if w.restartSuspected || w.anchorAt.IsZero() || w.ClockMS == 0 || w.StartMS != w.startMS {
 		return time.Time{}, false
 	}
 	after := time.Duration(w.ClockMS-w.anchorMS) * time.Millisecond
--- a/workload/control/renewals.go
+++ b/workload/control/renewals.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// HoldRetry is the pause after an unanswered lease renewal.
-	HoldRetry = 200 * time.Millisecond
+	// RenewalRetryPause is the pause after an unanswered lease renewal.
+	RenewalRetryPause = 200 * time.Millisecond
 	// ackPause is how long the next lease renewal waits for ends to reach the log, so that it can
 	// acknowledge them.
 	ackPause = 400 * time.Millisecond
@@ -17,20 +17,20 @@
 	pollPause = 50 * time.Millisecond
 )
 
-// Held handles the answer to a lease renewal that was sent at the given time.
-func (c *Core) Held(order HoldOrder, answer HoldAnswer, sent, now time.Time) {
+// HandleRenewal handles the answer to a lease renewal that was sent at the given time.
+func (c *Core) HandleRenewal(order RenewalOrder, answer RenewalAnswer, sent, now time.Time) {
 	w := c.workers[order.Worker]
 	if w == nil || (order.Number != 0 && order.Number != w.renewalNumber) {
 		return
 	}
 	w.renewalInFlight = false
-	switch answer.Verdict {
+	switch answer.Result {
 	case Accepted:
 		c.recordAnswer(w, now)
 		c.handleAccepted(w, order, answer, sent, now)
 	case Fenced:
 		c.handleFenced(w, order.Token)
-		w.nextRenewalAt = now.Add(HoldRetry)
+		w.nextRenewalAt = now.Add(RenewalRetryPause)
 	case Gone:
 		c.handleGone(w, order.Address, now)
 	default:
@@ -38,7 +38,7 @@
 		c.recordStrayOrder(w, sent)
 		c.recordNoAnswer(w, sent.Add(order.Wait), now)
 		c.markSilent(w, now)
-		w.nextRenewalAt = now.Add(HoldRetry)
+		w.nextRenewalAt = now.Add(RenewalRetryPause)
 	}
 }
 
@@ -49,17 +49,17 @@
 		return
 	}
 	if !c.deposed {
-		c.emit(Note{Event: EventTokenRefused, Worker: w.ID})
+		c.emit(Event{Name: EventTokenRefused, Worker: w.ID})
 	}
 	c.deposed = true
 }
 
-func (c *Core) handleAccepted(w *worker, order HoldOrder, answer HoldAnswer, sent, now time.Time) {
+func (c *Core) handleAccepted(w *worker, order RenewalOrder, answer RenewalAnswer, sent, now time.Time) {
 	if w.isAnotherIncarnation(answer) {
 		c.replaceIncarnation(w, order, answer, now)
 	}
-	if answer.Born != 0 {
-		w.startMS = answer.Born
+	if answer.StartMS != 0 {
+		w.startMS = answer.StartMS
 	}
 	c.recordProblem(w, answer.Problem)
 	w.restartSuspected = false
@@ -71,7 +71,7 @@
 	w.updateClockAnchor(answer.ClockMS, sent)
 	c.readClock(w, answer.ClockMS, now)
 	if !w.reachable {
-		c.emit(Note{Event: EventWorkerAnswers, Worker: w.ID, Detail: fmt.Sprintf("born=%d", answer.Born)})
+		c.emit(Event{Name: EventWorkerAnswers, Worker: w.ID, Detail: fmt.Sprintf("born=%d", answer.StartMS)})
 	}
 	if !w.everReached {
 		// An earlier planner may have given it a lease until then.
@@ -79,9 +79,9 @@
 	}
 	w.reachable = true
 	w.everReached = true
-	w.newestConnection = max(w.newestConnection, answer.Connections)
-	if order.Life == w.number {
-		w.acknowledgedEnd = max(w.acknowledgedEnd, order.Cursor)
+	w.newestConnection = max(w.newestConnection, answer.NewestConnection)
+	if order.Incarnation == w.number {
+		w.acknowledgedEnd = max(w.acknowledgedEnd, order.AcknowledgedEnd)
 	}
 	reported := c.reconcileRunning(w, answer.Running, answer.ClockMS, now)
 	for _, row := range answer.Ended {
@@ -102,7 +102,7 @@
 // recordProblem reports what is wrong with a worker's answer, once.
 func (c *Core) recordProblem(w *worker, problem string) {
 	if problem != "" && problem != w.problem {
-		c.emit(Note{Event: EventWorkerUnreadable, Worker: w.ID, Why: problem})
+		c.emit(Event{Name: EventWorkerUnreadable, Worker: w.ID, Reason: problem})
 	}
 	w.problem = problem
 }
@@ -127,7 +127,7 @@
 		if unexpected[id] != run {
 			continue
 		}
-		c.emit(Note{Event: EventStrangeRun, Job: id.Job, Task: id.String(), Worker: w.ID, Run: run})
+		c.emit(Event{Name: EventStrangeRun, Job: id.Job, Task: id.String(), Worker: w.ID, Run: run})
 		c.pendingStops = append(c.pendingStops, newStopOrder(w, id, run))
 	}
 	w.unexpectedRuns = unexpected
@@ -143,7 +143,7 @@
 		}
 	}
 	// Restart the observation after a gap in the reports.
-	gap := !r.reportedAt.IsZero() && now.Sub(r.reportedAt) > 2*c.bounds.Wait
+	gap := !r.reportedAt.IsZero() && now.Sub(r.reportedAt) > 2*c.bounds.PollWait
 	r.reportedAt = now
 	if r.firstAt.IsZero() && row.Percent > 0 {
 		r.firstPercent = row.Percent
@@ -153,11 +153,11 @@
 		r.percent = row.Percent
 		r.progressedAt = now
 	}
-	if row.Saved != "" {
-		r.saved = row.Saved
+	if row.Checkpoint != "" {
+		r.saved = row.Checkpoint
 	}
 	r.updateRating()
-	r.metric = row.Figure
+	r.metric = row.Metric
 	if r.step.Perpetual {
 		r.percent = row.Percent
 	}
@@ -167,7 +167,7 @@
 func (c *Core) handleEnd(w *worker, row EndedRow, now time.Time) {
 	if row.Number <= w.receivedEnd && !w.unappliedEnds[row.Number] {
 		if row.Number <= w.acknowledgedEnd {
-			c.emit(Note{Event: EventEndPassedOver, Job: row.Task.Job, Task: row.Task.String(), Worker: w.ID, Run: row.Run, Why: string(row.How), Detail: fmt.Sprintf("number=%d seen=%d told=%d", row.Number, w.receivedEnd, w.acknowledgedEnd)})
+			c.emit(Event{Name: EventEndPassedOver, Job: row.Task.Job, Task: row.Task.String(), Worker: w.ID, Run: row.Run, Reason: string(row.End), Detail: fmt.Sprintf("number=%d seen=%d told=%d", row.Number, w.receivedEnd, w.acknowledgedEnd)})
 		}
 		return
 	}
@@ -183,10 +183,10 @@
 		c.handleLateEnd(w, row)
 		return
 	}
-	c.emit(Note{Event: EventRunEnded, Job: r.id.Job, Task: r.id.String(), Worker: w.ID, Run: r.run, Why: string(row.How), Detail: fmt.Sprintf("number=%d", row.Number)})
-	c.learnFromEnd(w, r, row.How, now)
-	r.job.recordRunTime(r, row.How, now)
-	c.settleRun(r, row.How, row.Saved)
+	c.emit(Event{Name: EventRunEnded, Job: r.id.Job, Task: r.id.String(), Worker: w.ID, Run: r.run, Reason: string(row.End), Detail: fmt.Sprintf("number=%d", row.Number)})
+	c.learnFromEnd(w, r, row.End, now)
+	r.job.recordRunTime(r, row.End, now)
+	c.settleRun(r, row.End, row.Checkpoint)
 }
 
 // settleMissing settles runs that the worker neither runs nor lists as ended. A run that an
@@ -208,11 +208,11 @@
 				c.settleRun(r, EndLapsed, "")
 			}
 		case !r.ordered && !c.inBatch(r):
-			c.emit(Note{Event: EventRunNeverBegan, Job: id.Job, Task: id.String(), Worker: w.ID, Run: r.run})
+			c.emit(Event{Name: EventRunNeverBegan, Job: id.Job, Task: id.String(), Worker: w.ID, Run: r.run})
 			r.unstarted = true
 			c.settleRun(r, EndLapsed, "")
 		case (r.answered && r.answeredAt.Before(sent)) || (r.confirmed && r.token < token):
-			c.emit(Note{Event: EventRunVanished, Job: id.Job, Task: id.String(), Worker: w.ID, Run: r.run, Detail: fmt.Sprintf("seen=%d cursor=%d", w.receivedEnd, w.persistedEnd)})
+			c.emit(Event{Name: EventRunVanished, Job: id.Job, Task: id.String(), Worker: w.ID, Run: r.run, Detail: fmt.Sprintf("seen=%d cursor=%d", w.receivedEnd, w.persistedEnd)})
 			c.settleRun(r, EndLapsed, "")
 		case r.stopAccepted && r.stopAcceptedAt.Before(sent):
 			c.settleRun(r, EndStopped, "")
@@ -230,7 +230,7 @@
 		return
 	}
 	r.unsettledReported = true
-	c.emit(Note{Event: EventRunUnsettled, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Detail: fmt.Sprintf("tries=%d answered=%t confirmed=%t stopping=%t", r.attempts, r.answered, r.confirmed, r.stopping)})
+	c.emit(Event{Name: EventRunUnsettled, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Detail: fmt.Sprintf("tries=%d answered=%t confirmed=%t stopping=%t", r.attempts, r.answered, r.confirmed, r.stopping)})
 }
 
 func (c *Core) inBatch(r *activeRun) bool {
@@ -269,7 +269,7 @@
 func (c *Core) completeTask(r *activeRun) {
 	j := r.job
 	for _, o := range j.progress.Open {
-		if o.K != r.id.K {
+		if o.Number != r.id.Occurrence {
 			continue
 		}
 		if !r.step.Gang {
@@ -297,7 +297,7 @@
 	t.Phase = workload.Waiting
 	t.Worker = ""
 	if saved != "" && r.step.Checkpoint {
-		t.Saved = saved
+		t.LastCheckpoint = saved
 	}
 	if r.step.Gang {
 		if r.percent > 0 || end == EndFailed {
@@ -306,7 +306,7 @@
 			// racks, and run for three times as long.
 			delete(r.job.waitingSince, r.key)
 		}
-		c.stopGang(r, end, t.Saved)
+		c.stopGang(r, end, t.LastCheckpoint)
 	}
 	if took, known := r.runTime(c.roundAt); end == EndFailed && known && took > c.clearAfter(r, t) {
 		c.resetCrashes(r, t)
@@ -332,11 +332,11 @@
 		return
 	}
 	for _, o := range r.job.progress.Open {
-		if o.K != r.id.K {
+		if o.Number != r.id.Occurrence {
 			continue
 		}
 		for i := range o.Steps[r.id.Step] {
-			o.Steps[r.id.Step][i].Saved = saved
+			o.Steps[r.id.Step][i].LastCheckpoint = saved
 		}
 	}
 }
@@ -347,19 +347,19 @@
 	if r.step.Gang {
 		first := r.id
 		first.Index = 0
-		counted = r.job.progress.Find(first)
+		counted = r.job.progress.FindTask(first)
 		if counted.FailedRun == r.run {
 			return
 		}
 		counted.FailedRun = r.run
 	}
-	counted.Fails++
+	counted.Failures++
 	r.job.avoidedWorkers[r.worker.ID] = true
-	attempts := max(1, c.terms(r.job).Attempts)
-	if counted.Fails < attempts || r.job.progress.State.Final() {
+	attempts := max(1, c.terms(r.job).MaxAttempts)
+	if counted.Failures < attempts || r.job.progress.State.IsFinal() {
 		return
 	}
-	c.emit(Note{Event: EventJobFailed, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Why: "attempts-used"})
+	c.emit(Event{Name: EventJobFailed, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Reason: "attempts-used"})
 	c.failJob(r.job)
 }
 
@@ -367,12 +367,12 @@
 func (c *Core) closeOccurrences(j *job) {
 	open := j.progress.Open[:0]
 	for _, o := range j.progress.Open {
-		if !o.Done() {
+		if !o.IsDone() {
 			open = append(open, o)
 		}
 	}
 	j.progress.Open = open
-	if len(open) == 0 && j.progress.Next >= j.Occurrences() && !j.progress.State.Final() {
+	if len(open) == 0 && j.progress.NextOccurrence >= j.Occurrences() && !j.progress.State.IsFinal() {
 		j.progress.State = workload.Completed
 		c.emitCompletion(j)
 	}
--- a/workload/control/repeated_outages_test.go
+++ b/workload/control/repeated_outages_test.go
@@ -23,7 +23,7 @@
 	s := &scenario{simulation: newSimulation(seed, false)}
 	for i := 6; i < 120; i++ {
 		id := fmt.Sprintf("w%03d", i)
-		s.listedBorn[id] = s.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 128000, Accelerators: 8}, 1, s.now).Born
+		s.listedBorn[id] = s.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 128000, Accelerators: 8}, 1, s.now).StartMS
 	}
 	s.fleet.Work = func(id workload.TaskID, run int64, _ string) workertest.Work {
 		step, _ := s.lookUpStep(id)
@@ -57,7 +57,7 @@
 	big := workload.Resources{MilliCPU: 13000, MemoryMiB: 53000, Accelerators: 8}
 	small := workload.Resources{MilliCPU: 2800, MemoryMiB: 11000, Accelerators: 1}
 	priority := func(p int) func(*workload.Job) {
-		return func(j *workload.Job) { j.Terms.Priority, j.Terms.Attempts = p, 4 }
+		return func(j *workload.Job) { j.QueueSettings.Priority, j.QueueSettings.MaxAttempts = p, 4 }
 	}
 	switch {
 	case i%20 == 3:
--- a/workload/control/restarts_test.go
+++ b/workload/control/restarts_test.go
@@ -70,7 +70,7 @@
 		if sim.onRestart != nil {
 			sim.onRestart(restarted)
 		}
-		born := restarted.Born
+		born := restarted.StartMS
 		// Its first entry is listed within a heartbeat.
 		sim.schedule(time.Duration(sim.rng.Intn(1500))*time.Millisecond, func() { sim.listedBorn[id] = born })
 	})
@@ -181,9 +181,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := newScenario()
 			for _, w := range s.fleet.Workers {
-				w.Born = born
+				w.StartMS = born
 			}
-			s.onRestart = func(w *workertest.Worker) { w.Born = born }
+			s.onRestart = func(w *workertest.Worker) { w.StartMS = born }
 			s.runRestarts(t)
 		})
 	}
--- a/workload/control/retry_test.go
+++ b/workload/control/retry_test.go
@@ -16,22 +16,22 @@
 	now = time.Unix(1000, 0)
 	wall := func() int64 { return now.UnixMilli() }
 	bounds := Bounds{
-		Lease: time.Minute, Authority: time.Minute, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second, ReclaimWithin: 3 * time.Second, FarFactor: 3, Wait: time.Second,
-		Plan: func(s *decide.Snapshot) decide.Plan { last = s; return decide.Make(s) },
+		Lease: time.Minute, AuthorityPeriod: time.Minute, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second, ReclaimWithin: 3 * time.Second, RemoteFactor: 3, PollWait: time.Second,
+		Plan: func(s *decide.Snapshot) decide.Plan { last = s; return decide.MakePlan(s) },
 	}
 	c := New(bounds, 1, now)
-	c.Configure(Configuration{Queues: map[string]workload.Terms{"q": {Attempts: 3, Stretch: 1.5, TargetMS: 250}}, Guaranteed: map[domain.AccountID]int64{"a": 8}})
+	c.Configure(Configuration{Queues: map[string]workload.QueueSettings{"q": {MaxAttempts: 3, Stretch: 1.5, TargetMS: 250}}, Guaranteed: map[domain.AccountID]int64{"a": 8}})
 	capacity := workload.Resources{MilliCPU: 8000, MemoryMiB: 8000, Accelerators: 8}
-	c.List([]Listing{{ID: "w1", Address: "1", Rack: "r", Capacity: capacity, ClockMS: 1}, {ID: "w2", Address: "2", Rack: "r", Capacity: capacity, ClockMS: 1}}, now)
+	c.SetWorkers([]Listing{{ID: "w1", Address: "1", Rack: "r", Capacity: capacity, ClockMS: 1}, {ID: "w2", Address: "2", Rack: "r", Capacity: capacity, ClockMS: 1}}, now)
 	id := workload.JobID("00000000000000aa")
 	job := &workload.Job{ID: id, Account: "a", Queue: "q", AcceptedMS: wall(), Steps: []workload.Step{{Count: 1, Gang: true, SameRack: true, EstimateMS: 2000, Need: workload.Resources{Accelerators: 1}}}}
 	c.Adopt(id, workload.Entry{Job: job, State: workload.Queued})
 	renew := func(ended []EndedRow, running []RunningRow) {
 		for _, w := range []string{"w1", "w2"} {
-			c.Held(HoldOrder{Worker: w, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: 1}, now, now)
+			c.HandleRenewal(RenewalOrder{Worker: w, Token: 1}, RenewalAnswer{Result: Accepted, ClockMS: 1}, now, now)
 		}
 		if r := c.runs[workload.TaskID{Job: id}]; r != nil {
-			c.Held(HoldOrder{Worker: r.worker.ID, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: 1, Ended: ended, Running: running}, now, now)
+			c.HandleRenewal(RenewalOrder{Worker: r.worker.ID, Token: 1}, RenewalAnswer{Result: Accepted, ClockMS: 1, Ended: ended, Running: running}, now, now)
 		}
 	}
 	renew(nil, nil)
@@ -41,10 +41,10 @@
 	if len(starts) != 1 {
 		t.Fatalf("%d starts", len(starts))
 	}
-	c.Started(starts[0], Answer{Verdict: Accepted, ClockMS: 1}, now)
+	c.HandleStartAnswer(starts[0], Answer{Result: Accepted, ClockMS: 1}, now)
 	now = now.Add(runTime)
 	r := c.runs[workload.TaskID{Job: id}]
-	c.Held(HoldOrder{Worker: r.worker.ID, Token: 1}, HoldAnswer{Verdict: Accepted, ClockMS: 1, Ended: []EndedRow{{Number: 1, Task: workload.TaskID{Job: id}, Run: 1, How: EndFailed}}}, now, now)
+	c.HandleRenewal(RenewalOrder{Worker: r.worker.ID, Token: 1}, RenewalAnswer{Result: Accepted, ClockMS: 1, Ended: []EndedRow{{Number: 1, Task: workload.TaskID{Job: id}, Run: 1, End: EndFailed}}}, now, now)
 	c.Round(now, wall())
 	if len(last.Waiting) != 1 {
 		t.Fatalf("%d units wait", len(last.Waiting))
@@ -68,7 +68,7 @@
 // for a good placement as long as it could at first.
 func TestRetriedGangRestartsItsWaitingTime(t *testing.T) {
 	now, u := planAfterFailure(t, 10*time.Second)
-	if !u.Since.Equal(now) {
-		t.Fatalf("the gang counts %v as waiting time, want 0", now.Sub(u.Since))
+	if !u.ReadySince.Equal(now) {
+		t.Fatalf("the gang counts %v as waiting time, want 0", now.Sub(u.ReadySince))
 	}
 }
--- a/workload/control/round.go
+++ b/workload/control/round.go
@@ -33,7 +33,7 @@
 		c.preempt(s.Running[index], now)
 	}
 	c.applyStarts(s, units, plan.Starts, now)
-	c.emitWaitReasons(s, units, plan.Held)
+	c.emitWaitReasons(s, units, plan.Deferred)
 	c.emitLoad(plan, s, now)
 }
 
@@ -41,27 +41,27 @@
 const loadInterval = time.Second
 
 func (c *Core) emitLoad(plan decide.Plan, s *decide.Snapshot, now time.Time) {
-	if len(plan.Held) == 0 || now.Sub(c.loadReportedAt) < loadInterval {
+	if len(plan.Deferred) == 0 || now.Sub(c.loadReportedAt) < loadInterval {
 		return
 	}
 	c.loadReportedAt = now
 	l := plan.Load
-	c.emit(Note{Event: EventLoad, Detail: fmt.Sprintf("used=%.2f idle=%t kept=%d closed=%d hurried=%.2f waiting=%d", l.Used, l.Idle, l.Kept, l.Closed, s.Hurried, len(plan.Held))})
+	c.emit(Event{Name: EventLoad, Detail: fmt.Sprintf("used=%.2f idle=%t kept=%d closed=%d hurried=%.2f waiting=%d", l.Utilization, l.Underused, l.ReservedRacks, l.ClosedWorkers, s.UrgentShare, len(plan.Deferred))})
 }
 
 // createOccurrences opens the occurrences that are due, up to the limit on tasks in a job's
 // progress.
 func (c *Core) createOccurrences(wallMS int64) {
 	for _, j := range c.jobs {
-		if j.cancelled || j.progress.State.Final() {
+		if j.cancelled || j.progress.State.IsFinal() {
 			continue
 		}
-		tasks := j.Tasks()
-		for j.progress.Next < j.Occurrences() && wallMS >= j.DueMS(j.progress.Next) {
+		tasks := j.TaskCount()
+		for j.progress.NextOccurrence < j.Occurrences() && wallMS >= j.DueMS(j.progress.NextOccurrence) {
 			if len(j.progress.Open) > 0 && (len(j.progress.Open)+1)*tasks > workload.MaxTasks {
 				break
 			}
-			j.progress.Create(j.Job)
+			j.progress.AddOccurrence(j.Job)
 			if j.Repetitions == 0 {
 				break
 			}
@@ -77,7 +77,7 @@
 }
 
 func (c *Core) snapshot(now time.Time, wallMS int64) (*decide.Snapshot, []waitingStep) {
-	s := &decide.Snapshot{Now: now, ReclaimWithin: c.bounds.ReclaimWithin, StopTimeout: c.bounds.StopTimeout, FarFactor: c.bounds.FarFactor, Without: c.bounds.Without}
+	s := &decide.Snapshot{Now: now, ReclaimWithin: c.bounds.ReclaimWithin, StopTimeout: c.bounds.StopTimeout, RemoteFactor: c.bounds.RemoteFactor, Disabled: c.bounds.Disabled}
 	guaranteed := c.guaranteedJobs()
 	c.addRunning(s, guaranteed, now)
 	units := c.addWaiting(s, guaranteed, now, wallMS)
@@ -85,9 +85,9 @@
 		// The workers are only needed if something may start.
 		c.addWorkers(s, now)
 	}
-	s.Quiet = c.arrivals.isQuiet(now)
-	s.Headroom = c.headroom.observe(c.topPriorityDemand(s), s.Quiet, now)
-	s.Hurried = c.urgency.share
+	s.NoRecentArrivals = c.arrivals.isQuiet(now)
+	s.Headroom = c.headroom.observe(c.topPriorityDemand(s), s.NoRecentArrivals, now)
+	s.UrgentShare = c.urgency.share
 	return s, units
 }
 
@@ -100,16 +100,16 @@
 		out := decide.Worker{ID: w.ID, Rack: w.Rack, Service: w.Service, Labels: w.labels, Capacity: w.Capacity, Free: w.Capacity, Speed: c.speedFactor(w, now)}
 		reason := c.closedReason(w, now)
 		out.Closed = reason != notClosed
-		out.Removed = reason == closedEvacuated
+		out.Evacuated = reason == closedEvacuated
 		c.describeOccupants(&out, w, now)
 		for _, r := range w.runs {
-			need := r.step.Counted()
+			need := r.step.CapacityNeed()
 			out.Free = out.Free.Sub(need)
 			if !r.step.Checkpoint && c.terms(r.job).Priority > 0 {
-				out.Firm += need.Accelerators
+				out.NonCheckpointed += need.Accelerators
 			}
 			if r.stopping || r.settled {
-				out.Coming = out.Coming.Add(need)
+				out.Freeing = out.Freeing.Add(need)
 			}
 		}
 		s.Workers = append(s.Workers, out)
@@ -130,11 +130,11 @@
 			}
 		}
 		g := &s.Running[index]
-		g.Add(r.worker.ID, r.step.Counted())
-		g.Lost += c.lostWork(r, now)
-		g.Left = max(g.Left, r.remainingByProgress(now))
+		g.Add(r.worker.ID, r.step.CapacityNeed())
+		g.LostWork += c.lostWork(r, now)
+		g.RemainingTime = max(g.RemainingTime, r.remainingByProgress(now))
 		g.Stopping = g.Stopping || r.stopping || r.settled
-		g.Fixed = g.Fixed || !budget.take(r)
+		g.NonPreemptible = g.NonPreemptible || !budget.take(r)
 	}
 }
 
@@ -142,8 +142,8 @@
 	if a.Job != b.Job {
 		return a.Job < b.Job
 	}
-	if a.K != b.K {
-		return a.K < b.K
+	if a.Occurrence != b.Occurrence {
+		return a.Occurrence < b.Occurrence
 	}
 	if a.Step != b.Step {
 		return a.Step < b.Step
@@ -175,7 +175,7 @@
 	}
 	ran := now.Sub(r.orderedAt)
 	if r.step.Checkpoint {
-		ran = min(ran, c.bounds.Restore)
+		ran = min(ran, c.bounds.RestoreCost)
 	}
 	return ran.Seconds() * r.step.Need.CoreEquivalent()
 }
@@ -183,7 +183,7 @@
 func (c *Core) addWaiting(s *decide.Snapshot, guaranteed map[workload.JobID]bool, now time.Time, wallMS int64) []waitingStep {
 	var units []waitingStep
 	for _, j := range c.jobsInOrder() {
-		if j.cancelled || j.progress.State.Final() {
+		if j.cancelled || j.progress.State.IsFinal() {
 			continue
 		}
 		for _, o := range j.progress.Open {
@@ -205,12 +205,12 @@
 
 // waitingUnit returns a unit of the step's tasks that may start. ok is false if there are none.
 func (c *Core) waitingUnit(j *job, o *workload.Occurrence, step int, guaranteed bool, now time.Time, wallMS int64) (decide.Unit, bool) {
-	key := unitKey(j.ID, o.K, step)
+	key := unitKey(j.ID, o.Number, step)
 	spec := &j.Steps[step]
 	if spec.Gang && len(j.runsOf(key)) > 0 {
 		return decide.Unit{}, false
 	}
-	if !o.Ready(j.Job, step) {
+	if !o.IsStepReady(j.Job, step) {
 		return decide.Unit{}, false
 	}
 	u := decide.Unit{Key: key, Step: spec, Guaranteed: guaranteed}
@@ -218,7 +218,7 @@
 		if o.Steps[step][i].Phase != workload.Waiting {
 			continue
 		}
-		if len(j.runs) == 0 || c.runs[workload.TaskID{Job: j.ID, K: o.K, Step: step, Index: i}] == nil {
+		if len(j.runs) == 0 || c.runs[workload.TaskID{Job: j.ID, Occurrence: o.Number, Step: step, Index: i}] == nil {
 			u.Indexes = append(u.Indexes, i)
 		}
 	}
@@ -238,22 +238,22 @@
 	if first {
 		j.waitingSince[u.Key] = now
 	}
-	u.Since = j.waitingSince[u.Key]
+	u.ReadySince = j.waitingSince[u.Key]
 	terms := c.terms(j)
 	u.Priority = terms.Priority
 	u.Service = terms.Service
-	due := c.due(j, o.K, now, wallMS)
+	due := c.due(j, o.Number, now, wallMS)
 	expectedTotal := c.estimates.expectedWithFailures(j)
 	expectedRest := c.estimates.expectedChain(j, u.Key.Step)
 	objective := time.Duration(terms.Stretch*float64(expectedTotal)) + time.Duration(terms.TargetMS)*time.Millisecond
-	u.Run = c.estimates.expected(j, u.Key.Step)
+	u.RunTime = c.estimates.expected(j, u.Key.Step)
 	u.LatestStart = due.Add(objective - expectedRest)
 	if first && u.Priority == 0 {
-		c.urgency.observe(decide.Hurries(u.LatestStart.Sub(now), c.bounds.StopTimeout))
+		c.urgency.observe(decide.IsUrgent(u.LatestStart.Sub(now), c.bounds.StopTimeout))
 	}
-	u.Worthless = due.Add(lateFactor*objective - expectedRest)
-	if u.Step.Spread > 0 {
-		u.Beside = j.runsPerWorker(u.Key)
+	u.WorthlessAfter = due.Add(lateFactor*objective - expectedRest)
+	if u.Step.PerWorker > 0 {
+		u.Placed = j.runsPerWorker(u.Key)
 	}
 	c.restrictToAllowed(u, terms, now)
 }
@@ -289,13 +289,13 @@
 		t.Run = run
 		t.Phase = workload.Placed
 		t.Worker = a.Worker
-		id := workload.TaskID{Job: key.Job, K: key.K, Step: key.Step, Index: a.Index}
+		id := workload.TaskID{Job: key.Job, Occurrence: key.Occurrence, Step: key.Step, Index: a.Index}
 		r := c.addRun(u.job, id, t)
-		r.remote = a.Far
-		r.slow = decide.Slow(c.speedFactor(r.worker, now))
+		r.remote = a.Remote
+		r.slow = decide.IsSlow(c.speedFactor(r.worker, now))
 		slow[key] = slow[key] || r.slow
 		c.pendingStarts = append(c.pendingStarts, r)
-		u.job.progress.Begun = true
+		u.job.progress.Started = true
 		if u.job.progress.State == workload.Queued {
 			u.job.progress.State = workload.Running
 		}
@@ -309,14 +309,14 @@
 
 // emitStart emits the start of a unit, as one event for all of its tasks that start in one round.
 func (c *Core) emitStart(u *decide.Unit, now time.Time, a decide.Assignment, run int64) {
-	step := workload.TaskID{Job: u.Key.Job, K: u.Key.K, Step: u.Key.Step}.StepName()
+	step := workload.TaskID{Job: u.Key.Job, Occurrence: u.Key.Occurrence, Step: u.Key.Step}.StepID()
 	task := fmt.Sprintf(" %d:%d@%s", a.Index, run, a.Worker)
-	if n := len(c.pendingEvents); n > 0 && c.pendingEvents[n-1].Event == EventUnitStarted && c.pendingEvents[n-1].Task == step {
+	if n := len(c.pendingEvents); n > 0 && c.pendingEvents[n-1].Name == EventUnitStarted && c.pendingEvents[n-1].Task == step {
 		c.pendingEvents[n-1].Detail += task
 		return
 	}
-	why := fmt.Sprintf("priority=%d guaranteed=%t slack_ms=%d waited_ms=%d far=%t", u.Priority, u.Guaranteed, u.LatestStart.Sub(now).Milliseconds(), now.Sub(u.Since).Milliseconds(), a.Far)
-	c.emit(Note{Event: EventUnitStarted, Job: u.Key.Job, Task: step, Why: why, Detail: task[1:]})
+	why := fmt.Sprintf("priority=%d guaranteed=%t slack_ms=%d waited_ms=%d far=%t", u.Priority, u.Guaranteed, u.LatestStart.Sub(now).Milliseconds(), now.Sub(u.ReadySince).Milliseconds(), a.Remote)
+	c.emit(Event{Name: EventUnitStarted, Job: u.Key.Job, Task: step, Reason: why, Detail: task[1:]})
 }
 
 func highestRun(tasks []workload.Task) int64 {
@@ -336,7 +336,7 @@
 }
 
 // emitWaitReasons emits why units wait, if the reason has changed.
-func (c *Core) emitWaitReasons(s *decide.Snapshot, units []waitingStep, held []decide.Held) {
+func (c *Core) emitWaitReasons(s *decide.Snapshot, units []waitingStep, held []decide.DeferredUnit) {
 	for _, h := range held {
 		if u := &s.Waiting[h.Unit]; u.Allowed != nil && len(u.Allowed) == 0 {
 			h.Reason = decide.WaitsForAdvice
@@ -351,5 +351,5 @@
 		return
 	}
 	j.waitReasons[key] = reason
-	c.emit(Note{Event: EventUnitWaits, Job: key.Job, Task: workload.TaskID{Job: key.Job, K: key.K, Step: key.Step}.StepName(), Why: string(reason)})
+	c.emit(Event{Name: EventUnitWaits, Job: key.Job, Task: workload.TaskID{Job: key.Job, Occurrence: key.Occurrence, Step: key.Step}.StepID(), Reason: string(reason)})
 }
--- a/workload/control/round_bench_test.go
+++ b/workload/control/round_bench_test.go
@@ -32,12 +32,12 @@
 func newLoadedPool(workers int) *loadedPool {
 	c := &loadedPool{now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewSource(1)), ends: map[string]int64{}, runs: map[string][]control.RunningRow{}}
 	c.core = control.New(control.Bounds{
-		Lease: 6 * time.Second, Authority: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second,
-		ReclaimWithin: 2900 * time.Millisecond, FarFactor: 3, Restore: 600 * time.Millisecond, Wait: 1500 * time.Millisecond,
+		Lease: 6 * time.Second, AuthorityPeriod: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second,
+		ReclaimWithin: 2900 * time.Millisecond, RemoteFactor: 3, RestoreCost: 600 * time.Millisecond, PollWait: 1500 * time.Millisecond,
 	}, poolToken, c.now)
-	config := control.Configuration{Version: 1, Queues: map[string]workload.Terms{}, Guaranteed: map[domain.AccountID]int64{}}
+	config := control.Configuration{Version: 1, Queues: map[string]workload.QueueSettings{}, Guaranteed: map[domain.AccountID]int64{}}
 	for i, queue := range []string{"quote", "forecast", "check"} {
-		config.Queues[queue] = workload.Terms{Service: "pool", Priority: i, Attempts: 2, Stretch: []float64{1.5, 3, 3}[i], TargetMS: []int64{250, 1000, 3000}[i]}
+		config.Queues[queue] = workload.QueueSettings{Service: "pool", Priority: i, MaxAttempts: 2, Stretch: []float64{1.5, 3, 3}[i], TargetMS: []int64{250, 1000, 3000}[i]}
 	}
 	for i := range 24 {
 		config.Guaranteed[domain.AccountID(fmt.Sprint(i))] = 200
@@ -50,16 +50,16 @@
 			Capacity: workload.Resources{MilliCPU: 32000, MemoryMiB: 65536, Accelerators: 8}, ClockMS: 1,
 		})
 	}
-	c.core.List(list, c.now)
+	c.core.SetWorkers(list, c.now)
 	c.renewAll()
 	return c
 }
 
 // renewAll answers all due lease renewals with the runs on the workers.
 func (c *loadedPool) renewAll() {
-	for _, id := range c.core.NeedsHold(c.now) {
-		if o, ok := c.core.Hold(id, c.now); ok {
-			c.core.Held(o, control.HoldAnswer{Verdict: control.Accepted, ClockMS: c.now.UnixMilli() % 1_000_000, Running: c.runs[id]}, c.now, c.now)
+	for _, id := range c.core.WorkersToRenew(c.now) {
+		if o, ok := c.core.NextRenewal(id, c.now); ok {
+			c.core.HandleRenewal(o, control.RenewalAnswer{Result: control.Accepted, ClockMS: c.now.UnixMilli() % 1_000_000, Running: c.runs[id]}, c.now, c.now)
 		}
 	}
 }
@@ -84,9 +84,9 @@
 func (c *loadedPool) round() {
 	c.core.Round(c.now, c.now.UnixMilli())
 	c.core.Changes()
-	c.core.Notes()
+	c.core.Events()
 	for _, o := range c.core.Persisted(c.now) {
-		c.core.Started(o, control.Answer{Verdict: control.Accepted, ClockMS: c.now.UnixMilli() % 1_000_000}, c.now)
+		c.core.HandleStartAnswer(o, control.Answer{Result: control.Accepted, ClockMS: c.now.UnixMilli() % 1_000_000}, c.now)
 		c.runs[o.Worker] = append(c.runs[o.Worker], control.RunningRow{Task: o.Task, Run: o.Run, Percent: 1})
 	}
 	c.now = c.now.Add(10 * time.Millisecond)
@@ -158,7 +158,7 @@
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			c := newIdlePool(workers)
 			for b.Loop() {
-				c.core.NeedsHold(c.now)
+				c.core.WorkersToRenew(c.now)
 			}
 		})
 	}
--- a/workload/control/scenario_test.go
+++ b/workload/control/scenario_test.go
@@ -24,8 +24,8 @@
 // newScenario returns a scenario with six workers of 8 accelerators in two racks, and no faults.
 func newScenario() *scenario {
 	s := &scenario{simulation: newSimulation(1, false)}
-	seen := s.fleet.Seen
-	s.fleet.Seen = func(e workertest.Event) {
+	seen := s.fleet.OnEvent
+	s.fleet.OnEvent = func(e workertest.Event) {
 		s.events = append(s.events, e)
 		seen(e)
 	}
@@ -39,7 +39,7 @@
 func (s *scenario) add(id workload.JobID, change func(*workload.Job), steps ...workload.Step) workload.JobID {
 	j := &workload.Job{
 		ID: id, Queue: "q", Spec: "spec of " + string(id), AcceptedMS: s.now.UnixMilli(), Steps: steps,
-		Terms: workload.Terms{Priority: 1, Attempts: maxAttempts, Stretch: 3, TargetMS: 1000},
+		QueueSettings: workload.QueueSettings{Priority: 1, MaxAttempts: maxAttempts, Stretch: 3, TargetMS: 1000},
 	}
 	if change != nil {
 		change(j)
@@ -58,7 +58,7 @@
 func (s *scenario) starts(id workload.JobID) []workertest.Event {
 	var out []workertest.Event
 	for _, e := range s.events {
-		if e.Task.Job == id && e.How == "" {
+		if e.Task.Job == id && e.End == "" {
 			out = append(out, e)
 		}
 	}
@@ -68,7 +68,7 @@
 func (s *scenario) ends(id workload.JobID, how control.End) int {
 	n := 0
 	for _, e := range s.events {
-		if e.Task.Job == id && e.How == how {
+		if e.Task.Job == id && e.End == how {
 			n++
 		}
 	}
@@ -130,7 +130,7 @@
 
 func TestSpreadLimitsTasksPerWorker(t *testing.T) {
 	s := newScenario()
-	s.add(jobA, nil, workload.Step{Count: 6, Need: need(1), Spread: 1})
+	s.add(jobA, nil, workload.Step{Count: 6, Need: need(1), PerWorker: 1})
 	s.advance(2 * time.Second)
 	s.check(t)
 	startsByWorker := map[string]int{}
@@ -144,7 +144,7 @@
 
 func TestNoStartsOnWorkersOfAnotherService(t *testing.T) {
 	s := newScenario()
-	s.add(jobA, func(j *workload.Job) { j.Terms.Service = "another" }, workload.Step{Count: 1, Need: need(1)})
+	s.add(jobA, func(j *workload.Job) { j.QueueSettings.Service = "another" }, workload.Step{Count: 1, Need: need(1)})
 	s.advance(2 * time.Second)
 	if n := len(s.starts(jobA)); n != 0 {
 		t.Fatalf("%d starts, want 0", n)
@@ -163,9 +163,9 @@
 		t.Fatalf("%s after %d starts", s.jobState(jobA), len(s.starts(jobA)))
 	}
 	for _, e := range s.starts(jobA) {
-		due := first.Add(time.Duration(e.Task.K) * 300 * time.Millisecond)
+		due := first.Add(time.Duration(e.Task.Occurrence) * 300 * time.Millisecond)
 		if e.At.Before(due) || e.At.After(due.Add(time.Second)) {
-			t.Fatalf("occurrence %d starts %v after it was due", e.Task.K, e.At.Sub(due))
+			t.Fatalf("occurrence %d starts %v after it was due", e.Task.Occurrence, e.At.Sub(due))
 		}
 	}
 }
@@ -237,7 +237,7 @@
 	}
 	s.add(jobA, nil, workload.Step{Count: 6, Need: need(8), Checkpoint: true, EstimateMS: 5000})
 	s.advance(2 * time.Second)
-	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 2, Need: need(8), Gang: true, SameRack: true, EstimateMS: 500})
+	s.add(jobB, func(j *workload.Job) { j.QueueSettings.Priority = 0 }, workload.Step{Count: 2, Need: need(8), Gang: true, SameRack: true, EstimateMS: 500})
 	submitted := s.now
 	s.advance(15 * time.Second)
 	s.check(t)
@@ -251,7 +251,7 @@
 	}
 	resumed := 0
 	for _, e := range s.starts(jobA) {
-		if e.Run > 1 && e.Saved != "" {
+		if e.Run > 1 && e.Checkpoint != "" {
 			resumed++
 		}
 	}
@@ -268,9 +268,9 @@
 	for i := range list {
 		list[i].Draining = i != 3
 	}
-	c.List(list, s.now)
+	c.SetWorkers(list, s.now)
 	for _, l := range list {
-		c.Held(control.HoldOrder{Worker: l.ID, Token: 1}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: l.ClockMS}, s.now, s.now)
+		c.HandleRenewal(control.RenewalOrder{Worker: l.ID, Token: 1}, control.RenewalAnswer{Result: control.Accepted, ClockMS: l.ClockMS}, s.now, s.now)
 	}
 	c.Adopt(jobA, workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{{Count: 12, Need: need(1)}}}})
 	c.Round(s.now, s.now.UnixMilli())
@@ -306,8 +306,8 @@
 			s.advance(12 * time.Second)
 			s.check(t)
 			got := s.starts(jobA)
-			if len(got) != c.starts || s.jobState(jobA) != workload.Completed || (got[len(got)-1].Saved != "") != c.saved {
-				t.Fatalf("%d starts, %s, saved %q", len(got), s.jobState(jobA), got[len(got)-1].Saved)
+			if len(got) != c.starts || s.jobState(jobA) != workload.Completed || (got[len(got)-1].Checkpoint != "") != c.saved {
+				t.Fatalf("%d starts, %s, saved %q", len(got), s.jobState(jobA), got[len(got)-1].Checkpoint)
 			}
 		})
 	}
@@ -322,15 +322,15 @@
 	c.Configure(control.Configuration{Version: 1})
 	placed := []byte(`{"state":"running","begun":true,"next":1,"open":[{"s":[[{"p":1,"r":1,"w":"w"}]]}]}`)
 	c.Adopt(jobA, workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{{Count: 1, Need: need(1)}}}, Progress: placed})
-	c.List([]control.Listing{{ID: "w", Address: "w", Capacity: need(8)}}, now)
+	c.SetWorkers([]control.Listing{{ID: "w", Address: "w", Capacity: need(8)}}, now)
 	id := workload.TaskID{Job: jobA}
 	runs := []control.RunningRow{{Task: id, Run: 1}}
-	c.Held(control.HoldOrder{Worker: "w", Token: 2}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 100_000, Running: runs}, now, now)
-	c.Held(control.HoldOrder{Worker: "w", Token: 2}, control.HoldAnswer{Verdict: control.Unanswered}, now, now.Add(time.Second))
+	c.HandleRenewal(control.RenewalOrder{Worker: "w", Token: 2}, control.RenewalAnswer{Result: control.Accepted, ClockMS: 100_000, Running: runs}, now, now)
+	c.HandleRenewal(control.RenewalOrder{Worker: "w", Token: 2}, control.RenewalAnswer{Result: control.Unanswered}, now, now.Add(time.Second))
 	writtenOff := func(after time.Duration) bool {
 		c.Round(now.Add(after), now.Add(after).UnixMilli())
-		for _, n := range c.Notes() {
-			if n.Event == control.EventRunLost {
+		for _, n := range c.Events() {
+			if n.Name == control.EventRunLost {
 				return true
 			}
 		}
@@ -349,21 +349,21 @@
 func TestUnansweredStartOrderIsSentAgain(t *testing.T) {
 	now := time.Unix(5000, 0)
 	c := control.New(simBounds, 1, now)
-	c.List([]control.Listing{{ID: "w", Address: "w", Capacity: need(8)}}, now)
-	c.Held(control.HoldOrder{Worker: "w", Token: 1}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 1000}, now, now)
+	c.SetWorkers([]control.Listing{{ID: "w", Address: "w", Capacity: need(8)}}, now)
+	c.HandleRenewal(control.RenewalOrder{Worker: "w", Token: 1}, control.RenewalAnswer{Result: control.Accepted, ClockMS: 1000}, now, now)
 	c.Adopt(jobA, workload.Entry{Job: &workload.Job{ID: jobA, Steps: []workload.Step{{Count: 1, Need: need(1)}}}})
 	c.Round(now, now.UnixMilli())
 	c.Changes()
 	first := c.Persisted(now)
-	if again := c.Due(now.Add(100 * time.Millisecond)); len(first) != 1 || len(again) != 0 {
+	if again := c.RetryOrders(now.Add(100 * time.Millisecond)); len(first) != 1 || len(again) != 0 {
 		t.Fatalf("first orders %v, want 1; repeated after 100ms %v, want none", first, again)
 	}
-	again := c.Due(now.Add(3 * time.Second))
+	again := c.RetryOrders(now.Add(3 * time.Second))
 	if len(again) != 1 || again[0].Task != first[0].Task || again[0].Run != first[0].Run {
 		t.Fatalf("repeated after 3s: %v, want the first order", again)
 	}
-	c.Started(again[0], control.Answer{Verdict: control.Accepted}, now.Add(3*time.Second))
-	if more := c.Due(now.Add(9 * time.Second)); len(more) != 0 {
+	c.HandleStartAnswer(again[0], control.Answer{Result: control.Accepted}, now.Add(3*time.Second))
+	if more := c.RetryOrders(now.Add(9 * time.Second)); len(more) != 0 {
 		t.Fatalf("repeated after its answer: %v", more)
 	}
 }
@@ -373,8 +373,8 @@
 	c := control.New(simBounds, 1, now)
 	c.Configure(control.Configuration{Version: 1, Guaranteed: map[domain.AccountID]int64{"has": 8}})
 	list := []control.Listing{{ID: "w", Address: "w", Capacity: workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}}}
-	c.List(list, now)
-	c.Held(control.HoldOrder{Worker: "w", Token: 1}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 1000}, now, now)
+	c.SetWorkers(list, now)
+	c.HandleRenewal(control.RenewalOrder{Worker: "w", Token: 1}, control.RenewalAnswer{Result: control.Accepted, ClockMS: 1000}, now, now)
 	for i, account := range []domain.AccountID{"has-not", "has"} {
 		id := workload.JobID(fmt.Sprintf("%016d", i))
 		c.Adopt(id, workload.Entry{Job: &workload.Job{ID: id, Account: account, AcceptedMS: int64(i), Steps: []workload.Step{{Count: 1, Need: need(8), Gang: true}}}})
--- a/workload/control/simulation_connections_test.go
+++ b/workload/control/simulation_connections_test.go
@@ -41,7 +41,7 @@
 // connectionTo returns the incarnation that an order with a recipient reaches, if any. Whether it
 // is dead or unreachable is detected on delivery.
 func (sim *simulation) connectionTo(p *planner, worker string, to control.Recipient) (incarnation *workertest.Worker, reached bool) {
-	if kept, ok := p.connections.kept[worker]; ok && kept.number <= to.Connections {
+	if kept, ok := p.connections.kept[worker]; ok && kept.number <= to.NewestConnection {
 		return kept.incarnation, true
 	}
 	target := sim.fleet.Workers[worker]
@@ -49,6 +49,6 @@
 		return target, true
 	}
 	p.connections.add(worker, target)
-	answer := sim.mutant.alterAnswer(control.HoldAnswer{Born: target.Born, ClockMS: target.ClockMS(sim.now)}, sim.now)
-	return target, to.Is(answer.Born, answer.ClockMS)
+	answer := sim.mutant.alterAnswer(control.RenewalAnswer{StartMS: target.StartMS, ClockMS: target.ClockMS(sim.now)}, sim.now)
+	return target, to.Is(answer.StartMS, answer.ClockMS)
 }
--- a/workload/control/simulation_orders_test.go
+++ b/workload/control/simulation_orders_test.go
@@ -41,7 +41,7 @@
 // send delivers an order and its answer, or reports a timeout to the sender. An order over a
 // connection reaches the given incarnation or none; with a nil incarnation it reaches the one that
 // is running when the order arrives.
-func (sim *simulation) send(worker string, p *planner, incarnation *workertest.Worker, carryOut func(*workertest.Worker) func(), fail func(control.Verdict)) {
+func (sim *simulation) send(worker string, p *planner, incarnation *workertest.Worker, carryOut func(*workertest.Worker) func(), fail func(control.Result)) {
 	delay, answered, lost := sim.drawDelivery(worker)
 	silence := func() { fail(control.Unanswered) }
 	if !lost {
@@ -84,7 +84,7 @@
 	if d := sim.startDelays[o.Task.Job]; d > 0 {
 		sim.schedule(d, func() { sim.fleet.Workers[o.Worker].Start(o, sim.now) })
 		sim.schedule(orderTimeout, func() {
-			sim.deliver(p, func() { p.core.Started(o, control.Answer{Verdict: control.Unanswered}, sim.now) })
+			sim.deliver(p, func() { p.core.HandleStartAnswer(o, control.Answer{Result: control.Unanswered}, sim.now) })
 		})
 		return
 	}
@@ -95,7 +95,7 @@
 	}
 	if !reached {
 		sim.schedule(connectTime, func() {
-			sim.deliver(p, func() { p.core.Started(o, control.Answer{Verdict: control.Unreached}, sim.now) })
+			sim.deliver(p, func() { p.core.HandleStartAnswer(o, control.Answer{Result: control.Unreachable}, sim.now) })
 		})
 		return
 	}
@@ -103,49 +103,49 @@
 		sim.delayedStarts[o.Worker+o.Task.String()] = sim.now.Sub(sent) > time.Second
 		a := target.Start(o, sim.now)
 		if sim.unansweredJobs[o.Task.Job] {
-			a.Verdict = control.Unanswered
+			a.Result = control.Unanswered
 		}
-		return func() { p.core.Started(o, a, sim.now) }
-	}, func(v control.Verdict) {
-		p.core.Started(o, control.Answer{Verdict: sim.mutant.alterVerdict(v, control.Full)}, sim.now)
+		return func() { p.core.HandleStartAnswer(o, a, sim.now) }
+	}, func(v control.Result) {
+		p.core.HandleStartAnswer(o, control.Answer{Result: sim.mutant.alterVerdict(v, control.Full)}, sim.now)
 	})
 }
 
 func (sim *simulation) sendStop(p *planner, o control.StopOrder) {
 	sim.send(o.Worker, p, nil, func(target *workertest.Worker) func() {
 		a := target.Stop(o, sim.now)
-		return func() { p.core.Stopped(o, a, sim.now) }
-	}, func(v control.Verdict) {
-		p.core.Stopped(o, control.Answer{Verdict: sim.mutant.alterVerdict(v, control.Accepted)}, sim.now)
+		return func() { p.core.HandleStopAnswer(o, a, sim.now) }
+	}, func(v control.Result) {
+		p.core.HandleStopAnswer(o, control.Answer{Result: sim.mutant.alterVerdict(v, control.Accepted)}, sim.now)
 	})
 }
 
-func (sim *simulation) sendPace(p *planner, o control.PaceOrder) {
+func (sim *simulation) sendPace(p *planner, o control.ThrottleOrder) {
 	sim.send(o.Worker, p, nil, func(target *workertest.Worker) func() {
-		answer := target.Pace(o, sim.now)
-		return func() { p.core.Paced(o, answer, sim.now) }
-	}, func(v control.Verdict) { p.core.Paced(o, control.Answer{Verdict: v}, sim.now) })
+		answer := target.Throttle(o, sim.now)
+		return func() { p.core.HandleThrottleAnswer(o, answer, sim.now) }
+	}, func(v control.Result) { p.core.HandleThrottleAnswer(o, control.Answer{Result: v}, sim.now) })
 }
 
-func (sim *simulation) sendRenewal(p *planner, o control.HoldOrder) {
+func (sim *simulation) sendRenewal(p *planner, o control.RenewalOrder) {
 	sent := sim.now
 	if o.DeadlineMS > 0 {
 		o.DeadlineMS += sim.mutant.extraLease.Milliseconds()
 	}
 	o.Token = sim.mutant.token(o.Token)
 	if sim.mutant.earlyAck {
-		o.Cursor = 1 << 40
+		o.AcknowledgedEnd = 1 << 40
 	}
 	if sim.mutant.reusedCursors {
-		sim.maxCursors[o.Worker] = max(sim.maxCursors[o.Worker], o.Cursor)
-		o.Cursor = sim.maxCursors[o.Worker]
+		sim.maxCursors[o.Worker] = max(sim.maxCursors[o.Worker], o.AcknowledgedEnd)
+		o.AcknowledgedEnd = sim.maxCursors[o.Worker]
 	}
 	var incarnation *workertest.Worker
-	if o.Cursor > 0 && !sim.mutant.reusedCursors && !sim.mutant.earlyAck && !sim.mutant.unboundCursors {
+	if o.AcknowledgedEnd > 0 && !sim.mutant.reusedCursors && !sim.mutant.earlyAck && !sim.mutant.unboundCursors {
 		reached := true
 		if incarnation, reached = sim.connectionTo(p, o.Worker, o.To); !reached {
 			sim.schedule(connectTime, func() {
-				sim.deliver(p, func() { p.core.Held(o, control.HoldAnswer{Verdict: control.Unreached}, sent, sim.now) })
+				sim.deliver(p, func() { p.core.HandleRenewal(o, control.RenewalAnswer{Result: control.Unreachable}, sent, sim.now) })
 			})
 			return
 		}
@@ -153,34 +153,34 @@
 	sim.send(o.Worker, p, incarnation, func(target *workertest.Worker) func() {
 		connections := p.connections.add(o.Worker, target)
 		if sim.longPoll && o.Wait > 0 && len(target.Ended()) == 0 {
-			target.Keep(o, sim.now)
+			target.ExtendLease(o, sim.now)
 			sim.awaitEnd(p, target, o, connections, sent, sim.now.Add(o.Wait))
 			return func() {}
 		}
 		before := target.Ended()
 		if sim.trace != nil {
-			sim.trace("worker renewal %s deadline %d clock %d void %d cursor %d token %d", o.Worker, o.DeadlineMS, target.ClockMS(sim.now), target.Void(), o.Cursor, o.Token)
+			sim.trace("worker renewal %s deadline %d clock %d void %d cursor %d token %d", o.Worker, o.DeadlineMS, target.ClockMS(sim.now), target.LastVoidEnd(), o.AcknowledgedEnd, o.Token)
 		}
-		a := sim.mutant.alterAnswer(target.Hold(o, sim.now), sim.now)
-		a.Connections = connections
-		sim.recordAcknowledged(target, before, o.Cursor)
-		return func() { p.core.Held(o, a, sent, sim.now) }
-	}, func(v control.Verdict) { p.core.Held(o, control.HoldAnswer{Verdict: v}, sent, sim.now) })
+		a := sim.mutant.alterAnswer(target.Renew(o, sim.now), sim.now)
+		a.NewestConnection = connections
+		sim.recordAcknowledged(target, before, o.AcknowledgedEnd)
+		return func() { p.core.HandleRenewal(o, a, sent, sim.now) }
+	}, func(v control.Result) { p.core.HandleRenewal(o, control.RenewalAnswer{Result: v}, sent, sim.now) })
 }
 
 // awaitEnd answers a delayed lease renewal once a run has ended or its wait is over. If the worker
 // dies meanwhile, the call gets no answer.
-func (sim *simulation) awaitEnd(p *planner, target *workertest.Worker, o control.HoldOrder, connections int64, sent, until time.Time) {
+func (sim *simulation) awaitEnd(p *planner, target *workertest.Worker, o control.RenewalOrder, connections int64, sent, until time.Time) {
 	sim.schedule(10*time.Millisecond, func() {
 		switch {
 		case target.Dead:
-			sim.deliver(p, func() { p.core.Held(o, control.HoldAnswer{Verdict: control.Unanswered}, sent, sim.now) })
+			sim.deliver(p, func() { p.core.HandleRenewal(o, control.RenewalAnswer{Result: control.Unanswered}, sent, sim.now) })
 		case len(target.Ended()) > 0 || !sim.now.Before(until):
 			before := target.Ended()
-			a := target.Hold(o, sim.now)
-			a.Connections = connections
-			sim.recordAcknowledged(target, before, o.Cursor)
-			sim.schedule(5*time.Millisecond, func() { sim.deliver(p, func() { p.core.Held(o, a, sent, sim.now) }) })
+			a := target.Renew(o, sim.now)
+			a.NewestConnection = connections
+			sim.recordAcknowledged(target, before, o.AcknowledgedEnd)
+			sim.schedule(5*time.Millisecond, func() { sim.deliver(p, func() { p.core.HandleRenewal(o, a, sent, sim.now) }) })
 		default:
 			sim.awaitEnd(p, target, o, connections, sent, until)
 		}
@@ -190,7 +190,7 @@
 // recordAcknowledged records the done ends that a lease renewal has let the worker forget.
 func (sim *simulation) recordAcknowledged(target *workertest.Worker, rows []control.EndedRow, cursor int64) {
 	for _, row := range rows {
-		if row.Number > max(cursor, target.Acked()) || row.How != control.EndDone || row.Number <= target.Void() {
+		if row.Number > max(cursor, target.AcknowledgedEnd()) || row.End != control.EndDone || row.Number <= target.LastVoidEnd() {
 			continue
 		}
 		sim.recordDone(row.Task)
--- a/workload/control/simulation_test.go
+++ b/workload/control/simulation_test.go
@@ -18,14 +18,14 @@
 // on the workers against the planner's invariants.
 
 var simLimits = workertest.Limits{
-	HoldMax: 6 * time.Second, StopTimeout: 300 * time.Millisecond, GangTimeout: 3 * time.Second,
+	MaxLease: 6 * time.Second, StopTimeout: 300 * time.Millisecond, GangTimeout: 3 * time.Second,
 	CheckpointEvery: 500 * time.Millisecond, Restore: 100 * time.Millisecond,
 }
 
 var simBounds = control.Bounds{
-	Lease: simLimits.HoldMax, Heartbeat: heartbeatInterval, Authority: 2 * time.Second, StopTimeout: simLimits.StopTimeout,
-	GangTimeout: simLimits.GangTimeout, ReclaimWithin: 3 * time.Second, Restore: simLimits.Restore,
-	Wait: time.Second, Pace: 100 * time.Millisecond, Harm: 4 * time.Second,
+	Lease: simLimits.MaxLease, Heartbeat: heartbeatInterval, AuthorityPeriod: 2 * time.Second, StopTimeout: simLimits.StopTimeout,
+	GangTimeout: simLimits.GangTimeout, ReclaimWithin: 3 * time.Second, RestoreCost: simLimits.Restore,
+	PollWait: time.Second, ThrottleDelay: 100 * time.Millisecond, MaxOverTarget: 4 * time.Second,
 }
 
 const maxAttempts = 3
@@ -126,11 +126,11 @@
 		acknowledgedDone: map[workload.TaskID]bool{}, failures: map[workload.TaskID]int{}, restartedAfterDone: map[runKey]bool{}, voidRuns: map[runKey]bool{}, delayedStarts: map[string]bool{},
 		entryExpiresAt: map[string]time.Time{}, listedBorn: map[string]int64{}, maxCursors: map[string]int64{},
 	}
-	sim.fleet = &workertest.Fleet{Limits: simLimits, Step: sim.lookUpStep, Work: sim.randomWork, Seen: sim.checkEvent, Crashed: sim.onCrash}
+	sim.fleet = &workertest.Fleet{Limits: simLimits, Step: sim.lookUpStep, Work: sim.randomWork, OnEvent: sim.checkEvent, OnCrash: sim.onCrash}
 	for i := range 6 {
 		rate := 1 - 0.02*sim.rng.Float64()
 		id := fmt.Sprintf("w%d", i)
-		sim.listedBorn[id] = sim.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}, rate, sim.now).Born
+		sim.listedBorn[id] = sim.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}, rate, sim.now).StartMS
 	}
 	return sim
 }
@@ -157,12 +157,12 @@
 
 // checkEvent checks each start and end of a run against the invariants.
 func (sim *simulation) checkEvent(e workertest.Event) {
-	if e.How == "" {
+	if e.End == "" {
 		sim.checkStart(e)
 		return
 	}
 	delete(sim.running[e.Task], e.Worker)
-	switch e.How {
+	switch e.End {
 	case control.EndFailed:
 		sim.failures[e.Task]++
 	case control.EndDone:
@@ -197,7 +197,7 @@
 	}
 	for _, d := range j.Steps[e.Task.Step].DependsOn {
 		for i := range j.Steps[d].Count {
-			if sim.doneRun[workload.TaskID{Job: j.ID, K: e.Task.K, Step: d, Index: i}] == 0 {
+			if sim.doneRun[workload.TaskID{Job: j.ID, Occurrence: e.Task.Occurrence, Step: d, Index: i}] == 0 {
 				sim.violation("%v starts before step %d is done", e.Task, d)
 			}
 		}
@@ -215,7 +215,7 @@
 
 func (sim *simulation) submit(i int) {
 	id := simJobID(i)
-	j := &workload.Job{ID: id, Queue: "q", Spec: string(id), AcceptedMS: sim.now.UnixMilli(), Terms: workload.Terms{Priority: sim.rng.Intn(3), Attempts: maxAttempts, Stretch: 3, TargetMS: 1000}}
+	j := &workload.Job{ID: id, Queue: "q", Spec: string(id), AcceptedMS: sim.now.UnixMilli(), QueueSettings: workload.QueueSettings{Priority: sim.rng.Intn(3), MaxAttempts: maxAttempts, Stretch: 3, TargetMS: 1000}}
 	steps := 1 + sim.rng.Intn(2)
 	for s := range steps {
 		step := workload.Step{Count: 1 + sim.rng.Intn(4), Need: workload.Resources{MilliCPU: 2000, MemoryMiB: 4000, Accelerators: int64(1 + sim.rng.Intn(4))}, EstimateMS: 1000}
@@ -264,12 +264,12 @@
 		if worker.Dead && !sim.crashes.isListed(id, sim.now) && !sim.now.Before(sim.entryExpiresAt[id]) {
 			continue
 		}
-		born := worker.Born
+		born := worker.StartMS
 		if shown, restarts := sim.listedBorn[id]; restarts {
 			born = shown
 		}
 		address, rack := sim.crashes.location(id, fmt.Sprintf("r%d", i/3))
-		out = append(out, control.Listing{ID: id, Address: address, Rack: rack, Capacity: sim.capacities.listed(id, worker.Capacity, sim.now), ClockMS: worker.ClockMS(sim.now) - 300, Draining: sim.drainRemainingMS[id] > 0, RemainingMS: sim.drainRemainingMS[id], Born: born})
+		out = append(out, control.Listing{ID: id, Address: address, Rack: rack, Capacity: sim.capacities.listed(id, worker.Capacity, sim.now), ClockMS: worker.ClockMS(sim.now) - 300, Draining: sim.drainRemainingMS[id] > 0, RemainingMS: sim.drainRemainingMS[id], StartMS: born})
 	}
 	return out
 }
@@ -326,27 +326,27 @@
 }
 
 func (sim *simulation) sendOrders(p *planner) {
-	for _, o := range p.core.Due(sim.now) {
+	for _, o := range p.core.RetryOrders(sim.now) {
 		sim.sendStart(p, o)
 	}
-	for _, o := range p.core.Stops() {
+	for _, o := range p.core.StopOrders() {
 		sim.sendStop(p, o)
 	}
-	for _, o := range p.core.Paces() {
+	for _, o := range p.core.ThrottleOrders() {
 		sim.sendPace(p, o)
 	}
-	for _, id := range p.core.NeedsHold(sim.now) {
-		if o, ok := p.core.Hold(id, sim.now); ok {
+	for _, id := range p.core.WorkersToRenew(sim.now) {
+		if o, ok := p.core.NextRenewal(id, sim.now); ok {
 			sim.sendRenewal(p, o)
 		}
 	}
-	for _, n := range p.core.Notes() {
-		if n.Event == control.EventRunUnsettled {
+	for _, n := range p.core.Events() {
+		if n.Name == control.EventRunUnsettled {
 			sim.unsettledRuns = append(sim.unsettledRuns, fmt.Sprintf("%s %s run %d %s", n.Task, n.Worker, n.Run, n.Detail))
 		}
 		sim.checkDeparture(n)
 		if sim.trace != nil {
-			sim.trace("token %d: %s %s %s %s run %d %s", p.token, n.Event, n.Task, n.Worker, n.Why, n.Run, n.Detail)
+			sim.trace("token %d: %s %s %s %s run %d %s", p.token, n.Name, n.Task, n.Worker, n.Reason, n.Run, n.Detail)
 		}
 	}
 }
@@ -473,7 +473,7 @@
 		}
 		sim.foldAccepted(book, id)
 		e, _ := book.Get(workload.JobID(id))
-		if !e.State.Final() {
+		if !e.State.IsFinal() {
 			out = append(out, id+" "+string(e.State))
 		}
 	}
--- a/workload/control/simultaneous_crashes_test.go
+++ b/workload/control/simultaneous_crashes_test.go
@@ -20,7 +20,7 @@
 	s := newScenario()
 	for i := 6; i < 48; i++ {
 		id := fmt.Sprintf("w%02d", i)
-		s.listedBorn[id] = s.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}, 1, s.now).Born
+		s.listedBorn[id] = s.fleet.Add(id, workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}, 1, s.now).StartMS
 	}
 	s.fleet.Work = func(workload.TaskID, int64, string) workertest.Work { return workertest.Work{Takes: takes} }
 	return s
--- a/workload/control/speeds.go
+++ b/workload/control/speeds.go
@@ -59,7 +59,7 @@
 // updateRating updates the progress rate of a run, for a gang's member with its own share. Remote
 // runs are not rated: they are slow on any worker.
 func (r *activeRun) updateRating() {
-	if r.remote || r.step.Perpetual || r.step.Fills {
+	if r.remote || r.step.Perpetual || r.step.BestEffortCPU {
 		return
 	}
 	progress, took := r.percent-r.firstPercent, r.progressedAt.Sub(r.firstAt)
@@ -138,7 +138,7 @@
 		out = append(out, key)
 	}
 	slices.SortFunc(out, func(a, b decide.UnitKey) int {
-		return cmp.Or(cmp.Compare(a.K, b.K), cmp.Compare(a.Step, b.Step))
+		return cmp.Or(cmp.Compare(a.Occurrence, b.Occurrence), cmp.Compare(a.Step, b.Step))
 	})
 	return out
 }
--- a/workload/control/speeds_test.go
+++ b/workload/control/speeds_test.go
@@ -29,7 +29,7 @@
 		return workertest.Work{Takes: takes}
 	}
 	for i := range 6 {
-		s.add(workload.JobID("aaaaaaaaaaaaaaa"+string(rune('0'+i))), nil, workload.Step{Count: 12, Gang: gangs, Need: need(2), EstimateMS: 4000, Spread: 2})
+		s.add(workload.JobID("aaaaaaaaaaaaaaa"+string(rune('0'+i))), nil, workload.Step{Count: 12, Gang: gangs, Need: need(2), EstimateMS: 4000, PerWorker: 2})
 	}
 	s.advance(30 * time.Second)
 	return s
@@ -37,7 +37,7 @@
 
 func TestFirstPriorityRunsOnWorkersMeasuredAsFaster(t *testing.T) {
 	s := newSingleTaskSpeedScenario()
-	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 1, Need: need(4), EstimateMS: 1000})
+	s.add(jobB, func(j *workload.Job) { j.QueueSettings.Priority = 0 }, workload.Step{Count: 1, Need: need(4), EstimateMS: 1000})
 	s.advance(5 * time.Second)
 	s.check(t)
 	if got := s.starts(jobB); len(got) != 1 || got[0].Worker != "w0" {
@@ -49,7 +49,7 @@
 // A gang's members progress at their own pace, and wait at the end for the slowest.
 func TestSpeedsAreMeasuredFromGangs(t *testing.T) {
 	s := newSpeedScenario(true)
-	s.add(jobB, func(j *workload.Job) { j.Terms.Priority = 0 }, workload.Step{Count: 2, Gang: true, Need: need(4), EstimateMS: 1000})
+	s.add(jobB, func(j *workload.Job) { j.QueueSettings.Priority = 0 }, workload.Step{Count: 2, Gang: true, Need: need(4), EstimateMS: 1000})
 	s.advance(8 * time.Second)
 	s.check(t)
 	for _, got := range s.starts(jobB) {
--- a/workload/control/stragglers_test.go
+++ b/workload/control/stragglers_test.go
@@ -49,7 +49,7 @@
 	work, hangs := s.fleet.Work, true
 	s.fleet.Work = func(id workload.TaskID, run int64, worker string) workertest.Work {
 		out := work(id, run, worker)
-		out.Hang = id.Index == 0 && hangs
+		out.Hangs = id.Index == 0 && hangs
 		return out
 	}
 	reported := 0
--- a/workload/control/suspects.go
+++ b/workload/control/suspects.go
@@ -73,20 +73,20 @@
 // describeOccupants sets in the snapshot which job is watched on a worker, and whether a run
 // there started so recently that a crash would make it a suspect as well.
 func (c *Core) describeOccupants(out *decide.Worker, w *worker, now time.Time) {
-	if c.bounds.Without[decide.SuspectsApart] {
+	if c.bounds.Disabled[decide.IsolateSuspects] {
 		return
 	}
 	for _, r := range w.runs {
-		out.Shared = out.Shared || (out.Occupant != "" && out.Occupant != r.id.Job)
-		out.Occupant = r.id.Job
+		out.HasSeveralJobs = out.HasSeveralJobs || (out.RunningJob != "" && out.RunningJob != r.id.Job)
+		out.RunningJob = r.id.Job
 		if !c.hasSuspects {
 			continue
 		}
-		if c.isWatched(r, now) && (out.Watched == "" || r.id.Job < out.Watched) {
-			out.Watched = r.id.Job
+		if c.isWatched(r, now) && (out.SuspectJob == "" || r.id.Job < out.SuspectJob) {
+			out.SuspectJob = r.id.Job
 		}
 		if took, known := r.runTime(now); !known || took <= 2*c.earlyWindow(r) {
-			out.Unsettled = true
+			out.HasRecentStart = true
 		}
 	}
 }
@@ -94,13 +94,13 @@
 // splitSuspects splits a unit into the suspects among its tasks and the others. A gang is one
 // suspect.
 func (c *Core) splitSuspects(u decide.Unit, j *job, tasks []workload.Task, now time.Time) []decide.Unit {
-	if !j.suspected || c.bounds.Without[decide.SuspectsApart] {
+	if !j.suspected || c.bounds.Disabled[decide.IsolateSuspects] {
 		return []decide.Unit{u}
 	}
 	suspects, others := u, u
 	suspects.Indexes, others.Indexes = nil, nil
 	for _, i := range u.Indexes {
-		suspects.Alone = suspects.Alone || (tasks[i].TotalCrashes() >= isolateAfterCrashes && now.Sub(latest(j.crashedAt, j.waitedUnsettledAt)) < maxAloneWait)
+		suspects.Exclusive = suspects.Exclusive || (tasks[i].TotalCrashes() >= isolateAfterCrashes && now.Sub(latest(j.crashedAt, j.waitedUnsettledAt)) < maxAloneWait)
 		if isSuspect(&tasks[i]) {
 			suspects.Indexes = append(suspects.Indexes, i)
 		} else {
@@ -112,7 +112,7 @@
 	case len(suspects.Indexes) == 0:
 		return []decide.Unit{u}
 	case u.Step.Gang:
-		u.Suspect, u.Alone = true, suspects.Alone
+		u.Suspect, u.Exclusive = true, suspects.Exclusive
 		return []decide.Unit{u}
 	case len(others.Indexes) == 0:
 		return []decide.Unit{suspects}
--- a/workload/control/throttle.go
+++ b/workload/control/throttle.go
@@ -7,10 +7,10 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// PaceOrder throttles a filler: a run that uses spare capacity beside serving tasks.
-type PaceOrder struct {
+// ThrottleOrder throttles a filler: a run that uses spare capacity beside serving tasks.
+type ThrottleOrder struct {
 	Worker, Address string
-	Life            int
+	Incarnation     int
 	Task            workload.TaskID
 	Run             int64
 	// Percent is its share of the full pace, 0 to 100.
@@ -31,21 +31,21 @@
 	recoveryStep = 10
 	// minPace is the pace below which a filler is halted.
 	minPace = 10
-	// metricWindow is the period that RunningRow.Figure covers.
+	// metricWindow is the period that RunningRow.Metric covers.
 	metricWindow = 500 * time.Millisecond
-	// pollsPerHarm is how often the tail latency is polled within Bounds.Harm.
+	// pollsPerHarm is how often the tail latency is polled within Bounds.MaxOverTarget.
 	pollsPerHarm = 8
 )
 
 // isServing reports whether the run has a latency target.
-func (r *activeRun) isServing() bool { return r.step.Perpetual && r.step.TargetMS > 0 }
+func (r *activeRun) isServing() bool { return r.step.Perpetual && r.step.LatencyTargetMS > 0 }
 
 // hasFillersBesideServing reports whether both serving tasks and fillers run on the worker.
 func (w *worker) hasFillersBesideServing() bool {
 	serves, fills := false, false
 	for _, r := range w.runs {
 		serves = serves || r.isServing()
-		fills = fills || r.step.Fills
+		fills = fills || r.step.BestEffortCPU
 	}
 	return serves && fills
 }
@@ -56,7 +56,7 @@
 	highest := 0.0
 	for _, r := range w.runs {
 		if r.isServing() && r.confirmed && !r.stopping {
-			highest = max(highest, float64(r.metric)/float64(r.step.TargetMS))
+			highest = max(highest, float64(r.metric)/float64(r.step.LatencyTargetMS))
 		}
 	}
 	return highest
@@ -67,12 +67,12 @@
 func (c *Core) adjustThrottling(w *worker, now time.Time) {
 	targetUse := w.targetUse()
 	for _, r := range w.sortedRuns() {
-		if !r.step.Fills || !r.confirmed || r.stopping || r.throttlePending || now.Before(r.throttledAt.Add(c.bounds.Pace+metricWindow)) {
+		if !r.step.BestEffortCPU || !r.confirmed || r.stopping || r.throttlePending || now.Before(r.throttledAt.Add(c.bounds.ThrottleDelay+metricWindow)) {
 			continue
 		}
 		if next := nextPace(r.pace(), targetUse); next != r.pace() {
 			r.throttlePending = true
-			c.pendingThrottles = append(c.pendingThrottles, PaceOrder{Worker: w.ID, Address: w.Address, Task: r.id, Run: r.run, Percent: next, Life: w.number, Token: w.token})
+			c.pendingThrottles = append(c.pendingThrottles, ThrottleOrder{Worker: w.ID, Address: w.Address, Task: r.id, Run: r.run, Percent: next, Incarnation: w.number, Token: w.token})
 		}
 	}
 }
@@ -103,29 +103,29 @@
 // assumeThrottled takes a run of an earlier planner to be throttled as far as possible: raising
 // an unknown pace could cause harm.
 func (r *activeRun) assumeThrottled() {
-	if r.step.Fills {
+	if r.step.BestEffortCPU {
 		r.throttledPercent = fullPercent - minPace
 	}
 }
 
-// Paces returns the throttle orders that are due.
-func (c *Core) Paces() []PaceOrder {
+// ThrottleOrders returns the throttle orders that are due.
+func (c *Core) ThrottleOrders() []ThrottleOrder {
 	out := c.pendingThrottles
 	c.pendingThrottles = nil
 	return out
 }
 
-// Paced handles the answer to a throttle order. An unanswered one is decided on again with the
-// worker's next report.
-func (c *Core) Paced(order PaceOrder, answer Answer, now time.Time) {
+// HandleThrottleAnswer handles the answer to a throttle order. An unanswered one is decided on
+// again with the worker's next report.
+func (c *Core) HandleThrottleAnswer(order ThrottleOrder, answer Answer, now time.Time) {
 	w := c.workers[order.Worker]
 	if w == nil {
 		return
 	}
-	if order.Life == w.number {
+	if order.Incarnation == w.number {
 		c.readClock(w, answer.ClockMS, now)
 	}
-	if answer.Verdict == Fenced {
+	if answer.Result == Fenced {
 		c.handleFenced(w, order.Token)
 	}
 	r := c.runs[order.Task]
@@ -133,18 +133,18 @@
 		return
 	}
 	r.throttlePending = false
-	if answer.Verdict != Accepted || order.Life != w.number {
+	if answer.Result != Accepted || order.Incarnation != w.number {
 		return
 	}
 	r.throttledPercent = fullPercent - order.Percent
 	r.throttledAt = now
-	c.emit(Note{Event: EventRunPaced, Job: r.id.Job, Task: r.id.String(), Worker: w.ID, Run: r.run, Detail: strconv.Itoa(order.Percent)})
+	c.emit(Event{Name: EventRunPaced, Job: r.id.Job, Task: r.id.String(), Worker: w.ID, Run: r.run, Detail: strconv.Itoa(order.Percent)})
 }
 
 // boundPollWait limits the wait of a lease renewal if the tail latency has to be watched.
 func (c *Core) boundPollWait(w *worker, wait time.Duration) time.Duration {
-	if c.bounds.Harm <= 0 || !w.hasFillersBesideServing() {
+	if c.bounds.MaxOverTarget <= 0 || !w.hasFillersBesideServing() {
 		return wait
 	}
-	return min(wait, c.bounds.Harm/pollsPerHarm)
+	return min(wait, c.bounds.MaxOverTarget/pollsPerHarm)
 }
--- a/workload/control/trace_test.go
+++ b/workload/control/trace_test.go
@@ -31,10 +31,10 @@
 	if mode := os.Getenv("WORLD_RESTARTS"); mode != "" {
 		sim = newRestartSimulation(seed, mode == "faulty")
 	}
-	seen := sim.fleet.Seen
-	sim.fleet.Seen = func(e workertest.Event) {
+	seen := sim.fleet.OnEvent
+	sim.fleet.OnEvent = func(e workertest.Event) {
 		if task == "all" || strings.HasPrefix(e.Task.String(), task) {
-			t.Logf("%v %s %s run %d %q token %d", sim.now.Sub(time.Unix(1_000_000, 0)), e.Worker, e.Task, e.Run, e.How, e.Token)
+			t.Logf("%v %s %s run %d %q token %d", sim.now.Sub(time.Unix(1_000_000, 0)), e.Worker, e.Task, e.Run, e.End, e.Token)
 		}
 		seen(e)
 	}
--- a/workload/control/trust.go
+++ b/workload/control/trust.go
@@ -72,12 +72,12 @@
 	switch end {
 	case EndDone:
 		w.trust.recordSuccess()
-		if !c.bounds.Without[decide.LearnEstimates] && r.confirmed && r.ordered && r.saved == "" && !r.remote && !r.slow && !r.orderedAt.IsZero() {
+		if !c.bounds.Disabled[decide.LearnEstimates] && r.confirmed && r.ordered && r.saved == "" && !r.remote && !r.slow && !r.orderedAt.IsZero() {
 			c.estimates.observe(r.job.Queue, time.Duration(r.step.EstimateMS)*time.Millisecond, now.Sub(r.orderedAt))
 		}
 	case EndFailed:
-		if !c.bounds.Without[decide.Distrust] && w.trust.recordFailure(string(r.id.Job), now) {
-			c.emit(Note{Event: EventWorkerDistrusted, Worker: w.ID})
+		if !c.bounds.Disabled[decide.Distrust] && w.trust.recordFailure(string(r.id.Job), now) {
+			c.emit(Event{Name: EventWorkerDistrusted, Worker: w.ID})
 		}
 	}
 }
@@ -96,7 +96,7 @@
 		if r.step.Gang && r.percent >= fullPercent && unfinished.has(r) {
 			continue
 		}
-		c.emit(Note{Event: EventRunStandsStill, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run})
+		c.emit(Event{Name: EventRunStandsStill, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run})
 		r.worker.trust.recordRefusal(now)
 		r.job.avoidedWorkers[r.worker.ID] = true
 		c.stop(r, "stands-still")
@@ -121,5 +121,5 @@
 // takes, and at least two lease renewals plus the start of a gang.
 func (c *Core) maxStall(r *activeRun) time.Duration {
 	hundredth := c.estimates.expected(r.job, r.id.Step) / 100
-	return max(20*hundredth, 2*c.bounds.Wait+c.bounds.GangTimeout)
+	return max(20*hundredth, 2*c.bounds.PollWait+c.bounds.GangTimeout)
 }
--- a/workload/control/unknown_ends.go
+++ b/workload/control/unknown_ends.go
@@ -29,10 +29,10 @@
 		return missingNone
 	case j == nil:
 		return missingJob
-	case row.Task.K >= j.progress.Next:
+	case row.Task.Occurrence >= j.progress.NextOccurrence:
 		return missingRun
 	}
-	if t := j.progress.Find(row.Task); t != nil && t.Phase != workload.Done && row.Run > t.Run {
+	if t := j.progress.FindTask(row.Task); t != nil && t.Phase != workload.Done && row.Run > t.Run {
 		return missingRun
 	}
 	return missingNone
@@ -46,7 +46,7 @@
 		return false
 	}
 	if !w.unappliedEnds[row.Number] {
-		c.emit(Note{Event: EventEndUnknown, Job: row.Task.Job, Task: row.Task.String(), Worker: w.ID, Run: row.Run, Why: string(missing), Detail: fmt.Sprintf("how=%s number=%d", row.How, row.Number)})
+		c.emit(Event{Name: EventEndUnknown, Job: row.Task.Job, Task: row.Task.String(), Worker: w.ID, Run: row.Run, Reason: string(missing), Detail: fmt.Sprintf("how=%s number=%d", row.End, row.Number)})
 	}
 	return now.Before(c.inheritedLeasesEnd)
 }
--- a/workload/control/unknown_ends_test.go
+++ b/workload/control/unknown_ends_test.go
@@ -19,9 +19,9 @@
 
 func newUnknownEndsScenario() *unknownEndsScenario {
 	s := &unknownEndsScenario{now: time.Unix(1000, 0), id: "00000000000000aa"}
-	s.c = New(Bounds{Lease: 6 * time.Second, Authority: 6 * time.Second, StopTimeout: 400 * time.Millisecond, Wait: time.Second, FarFactor: 3}, 2, s.now)
-	s.c.Configure(Configuration{Queues: map[string]workload.Terms{"q": {Attempts: 3, Stretch: 3, TargetMS: 1000}}})
-	s.c.List([]Listing{{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1}}, s.now)
+	s.c = New(Bounds{Lease: 6 * time.Second, AuthorityPeriod: 6 * time.Second, StopTimeout: 400 * time.Millisecond, PollWait: time.Second, RemoteFactor: 3}, 2, s.now)
+	s.c.Configure(Configuration{Queues: map[string]workload.QueueSettings{"q": {MaxAttempts: 3, Stretch: 3, TargetMS: 1000}}})
+	s.c.SetWorkers([]Listing{{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 8}, ClockMS: 1}}, s.now)
 	s.job = &workload.Job{ID: s.id, Queue: "q", AcceptedMS: s.now.UnixMilli(), Steps: []workload.Step{{Count: 2, EstimateMS: 2000, Need: workload.Resources{Accelerators: 1}}}}
 	return s
 }
@@ -34,14 +34,14 @@
 // run.
 func (s *unknownEndsScenario) adopt(t *testing.T) {
 	t.Helper()
-	progress := &workload.Progress{State: workload.Running, Begun: true, Next: 1}
+	progress := &workload.Progress{State: workload.Running, Started: true, NextOccurrence: 1}
 	placed := workload.Task{Phase: workload.Placed, Run: 1, Worker: "w0"}
 	progress.Open = []*workload.Occurrence{{Steps: [][]workload.Task{{placed, placed}}}}
 	value, err := json.Marshal(progress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Begun: true, Progress: value})
+	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Started: true, Progress: value})
 }
 
 // maxListedEnds is the number of ends that a worker reports at a time.
@@ -51,19 +51,19 @@
 // of the last acknowledged end.
 func (s *unknownEndsScenario) renew(rows ...EndedRow) int64 {
 	s.now = s.now.Add(500 * time.Millisecond)
-	order, _ := s.c.Hold("w0", s.now)
+	order, _ := s.c.NextRenewal("w0", s.now)
 	if order.Worker == "" {
-		order = HoldOrder{Worker: "w0", Token: s.c.workerToken(), Life: 1}
+		order = RenewalOrder{Worker: "w0", Token: s.c.workerToken(), Incarnation: 1}
 	}
 	listed := []EndedRow{}
 	for _, row := range rows {
-		if row.Number > order.Cursor {
+		if row.Number > order.AcknowledgedEnd {
 			listed = append(listed, row)
 		}
 	}
 	page := listed[:min(len(listed), maxListedEnds)]
-	s.c.Held(order, HoldAnswer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000, Ended: page, More: len(listed) > len(page)}, s.now, s.now)
-	return order.Cursor
+	s.c.HandleRenewal(order, RenewalAnswer{Result: Accepted, ClockMS: s.now.UnixMilli() - 999_000, Ended: page, More: len(listed) > len(page)}, s.now, s.now)
+	return order.AcknowledgedEnd
 }
 
 func (s *unknownEndsScenario) round() []StartOrder {
@@ -75,7 +75,7 @@
 // If an end is acknowledged before it was applied to its job's record, its task is started again.
 func TestEndOfUnknownJobIsNotAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
-	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
+	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, End: EndDone}, {Number: 2, Task: s.task(1), Run: 1, End: EndDone}}
 	for range 3 {
 		if cursor := s.renew(ends...); cursor > 0 {
 			t.Fatalf("ends up to %d are acknowledged while their job is unknown", cursor)
@@ -105,14 +105,14 @@
 			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Completed, Settled: true, Progress: []byte(`{"state":"completed","begun":true,"next":1}`)})
 		},
 		"finished, without progress": func(s *unknownEndsScenario) {
-			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Completed, Begun: true})
+			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Completed, Started: true})
 		},
 		"unknown until all inherited leases have expired": func(s *unknownEndsScenario) { s.now = s.c.inheritedLeasesEnd },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newUnknownEndsScenario()
 			finish(s)
-			end := EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndStopped}
+			end := EndedRow{Number: 1, Task: s.task(0), Run: 1, End: EndStopped}
 			for range 3 {
 				s.renew(end)
 				s.round()
@@ -129,7 +129,7 @@
 func TestStartedJobIsNotAdoptedWithoutProgress(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.renew()
-	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Begun: true})
+	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Started: true})
 	if starts := s.round(); len(starts) > 0 {
 		t.Fatalf("%v is started although its earlier runs are unknown", starts[0].Task)
 	}
@@ -149,7 +149,7 @@
 	if s.c.jobs[s.id] != nil {
 		t.Fatal("a job that has ended was adopted")
 	}
-	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
+	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, End: EndDone})
 	s.round()
 	s.renew()
 	if cursor := s.c.workers["w0"].acknowledgedEnd; cursor != 1 {
@@ -162,16 +162,16 @@
 func TestEndOfUncreatedOccurrenceIsNotAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.job.Repetitions, s.job.FirstMS, s.job.IntervalMS = 10, s.now.UnixMilli()+3_600_000, 1000
-	progress := &workload.Progress{State: workload.Running, Begun: true, Next: 2}
+	progress := &workload.Progress{State: workload.Running, Started: true, NextOccurrence: 2}
 	value, err := json.Marshal(progress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Begun: true, Progress: value})
+	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Running, Started: true, Progress: value})
 	if s.c.jobs[s.id] == nil {
 		t.Fatal("the job was not adopted")
 	}
-	end := EndedRow{Number: 1, Task: workload.TaskID{Job: s.id, K: 2}, Run: 1, How: EndDone}
+	end := EndedRow{Number: 1, Task: workload.TaskID{Job: s.id, Occurrence: 2}, Run: 1, End: EndDone}
 	for range 3 {
 		if cursor := s.renew(end); cursor > 0 {
 			t.Fatal("the end of an occurrence that is not in the record was acknowledged")
@@ -185,10 +185,10 @@
 func TestEndIsNotAcknowledgedBeforeFirstRoundOfNewJob(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Queued})
-	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
+	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, End: EndDone}, {Number: 2, Task: s.task(1), Run: 1, End: EndDone}}
 	for range 4 {
 		cursor := s.renew(ends...)
-		if j := s.c.jobs[s.id]; cursor > 0 && j != nil && !j.progress.State.Final() {
+		if j := s.c.jobs[s.id]; cursor > 0 && j != nil && !j.progress.State.IsFinal() {
 			t.Fatalf("ends up to %d are acknowledged although they changed no record", cursor)
 		}
 		s.round()
@@ -202,7 +202,7 @@
 		t.Run(name, func(t *testing.T) {
 			const tasks = maxListedEnds + 20
 			s := newUnknownEndsScenario()
-			s.c.List([]Listing{{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 2 * tasks}, ClockMS: 1}}, s.now)
+			s.c.SetWorkers([]Listing{{ID: "w0", Address: "0", Rack: "r", Capacity: workload.Resources{Accelerators: 2 * tasks}, ClockMS: 1}}, s.now)
 			s.job.Steps[0].Count = tasks
 			s.renew()
 			s.c.Adopt(s.id, workload.Entry{Job: s.job, State: workload.Queued})
@@ -214,7 +214,7 @@
 						restarted++
 					}
 					ordered[o.Task] = o.Run
-					s.c.Started(o, Answer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000}, s.now)
+					s.c.HandleStartAnswer(o, Answer{Result: Accepted, ClockMS: s.now.UnixMilli() - 999_000}, s.now)
 				}
 			}
 			for range 200 {
@@ -226,10 +226,10 @@
 			}
 			var ends []EndedRow
 			if unknown {
-				ends = append(ends, EndedRow{Number: 1, Task: workload.TaskID{Job: "00000000000000bb"}, Run: 1, How: EndDone})
+				ends = append(ends, EndedRow{Number: 1, Task: workload.TaskID{Job: "00000000000000bb"}, Run: 1, End: EndDone})
 			}
 			for id, run := range ordered {
-				ends = append(ends, EndedRow{Number: int64(len(ends) + 1), Task: id, Run: run, How: EndDone})
+				ends = append(ends, EndedRow{Number: int64(len(ends) + 1), Task: id, Run: run, End: EndDone})
 			}
 			acknowledged := int64(0)
 			for i := 0; i < 20 && restarted == 0; i++ {
@@ -250,9 +250,9 @@
 // The state of a worker that has left must be dropped, even if it has unacknowledged ends.
 func TestDepartedWorkerWithUnknownEndsIsForgotten(t *testing.T) {
 	s := newUnknownEndsScenario()
-	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
+	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, End: EndDone})
 	s.round()
-	s.c.List(nil, s.now)
+	s.c.SetWorkers(nil, s.now)
 	s.now = s.c.inheritedLeasesEnd.Add(time.Minute)
 	for range 3 {
 		s.round()
@@ -279,18 +279,18 @@
 				t.Fatal(err)
 			}
 			if begun {
-				if err := b.Fold(0, workload.StatedKey(job.ID), []byte(`{"q":"q","s":"running","b":true}`)); err != nil {
+				if err := b.Fold(0, workload.StatusKey(job.ID), []byte(`{"q":"q","s":"running","b":true}`)); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if b.Fold(1, workload.ProgressKey(job.ID), []byte("[")) == nil {
 				t.Fatal("the record was read without an error")
 			}
-			if !b.Complete() {
+			if !b.IsComplete() {
 				t.Fatal("the book is incomplete although all records were read")
 			}
 			s := newUnknownEndsScenario()
-			b.All(s.c.Adopt)
+			b.ForEach(s.c.Adopt)
 			if s.c.Jobs() > 0 {
 				t.Error("a job whose progress can't be read was adopted")
 			}
@@ -302,21 +302,21 @@
 // acknowledged.
 func TestIdleWorkerIsPolledUntilItsUnknownEndIsAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
-	end := EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone}
+	end := EndedRow{Number: 1, Task: s.task(0), Run: 1, End: EndDone}
 	polls := 0
 	for range 60 {
 		s.now = s.now.Add(500 * time.Millisecond)
-		for _, id := range s.c.NeedsHold(s.now) {
-			order, ok := s.c.Hold(id, s.now)
+		for _, id := range s.c.WorkersToRenew(s.now) {
+			order, ok := s.c.NextRenewal(id, s.now)
 			if !ok {
 				continue
 			}
 			polls++
-			answer := HoldAnswer{Verdict: Accepted, ClockMS: s.now.UnixMilli() - 999_000}
-			if order.Cursor < end.Number {
+			answer := RenewalAnswer{Result: Accepted, ClockMS: s.now.UnixMilli() - 999_000}
+			if order.AcknowledgedEnd < end.Number {
 				answer.Ended = []EndedRow{end}
 			}
-			s.c.Held(order, answer, s.now, s.now)
+			s.c.HandleRenewal(order, answer, s.now, s.now)
 		}
 		s.round()
 	}
@@ -334,8 +334,8 @@
 	s := newUnknownEndsScenario()
 	s.adopt(t)
 	for range 3 {
-		cursor := s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 2, How: EndDone})
-		if task := s.c.jobs[s.id].progress.Find(s.task(0)); cursor > 0 && task.Phase != workload.Done {
+		cursor := s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 2, End: EndDone})
+		if task := s.c.jobs[s.id].progress.FindTask(s.task(0)); cursor > 0 && task.Phase != workload.Done {
 			t.Fatalf("an end was acknowledged whose run is newer than its record, %+v", *task)
 		}
 		s.c.Changes()
@@ -347,7 +347,7 @@
 func TestLateEndOfJobFinishedByThisPlannerIsAcknowledged(t *testing.T) {
 	s := newUnknownEndsScenario()
 	s.adopt(t)
-	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, How: EndDone}, {Number: 2, Task: s.task(1), Run: 1, How: EndDone}}
+	ends := []EndedRow{{Number: 1, Task: s.task(0), Run: 1, End: EndDone}, {Number: 2, Task: s.task(1), Run: 1, End: EndDone}}
 	for range 3 {
 		s.renew(ends...)
 		s.round()
@@ -356,7 +356,7 @@
 		t.Fatal("the job was not dropped")
 	}
 	for range 3 {
-		s.renew(append(ends, EndedRow{Number: 3, Task: s.task(1), Run: 2, How: EndStopped})...)
+		s.renew(append(ends, EndedRow{Number: 3, Task: s.task(1), Run: 2, End: EndStopped})...)
 		s.round()
 	}
 	if cursor := s.c.workers["w0"].acknowledgedEnd; cursor != 3 {
@@ -369,10 +369,10 @@
 	s := newUnknownEndsScenario()
 	s.renew()
 	s.now = s.c.inheritedLeasesEnd
-	s.c.Notes()
-	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, How: EndDone})
-	for _, n := range s.c.Notes() {
-		if n.Event == EventEndUnknown {
+	s.c.Events()
+	s.renew(EndedRow{Number: 1, Task: s.task(0), Run: 1, End: EndDone})
+	for _, n := range s.c.Events() {
+		if n.Name == EventEndUnknown {
 			return
 		}
 	}
--- a/workload/control/warmup.go
+++ b/workload/control/warmup.go
@@ -19,17 +19,17 @@
 // change, so only a changed value restarts the period.
 func (w *worker) updateWarmup(l Listing, now time.Time) {
 	switch {
-	case l.ColdMS == 0:
+	case l.WarmupMS == 0:
 		w.warmupUntil = time.Time{}
-	case l.ColdMS != w.ColdMS:
-		w.warmupUntil = now.Add(time.Duration(l.ColdMS) * time.Millisecond)
+	case l.WarmupMS != w.WarmupMS:
+		w.warmupUntil = now.Add(time.Duration(l.WarmupMS) * time.Millisecond)
 	}
 }
 
 // speedFactor returns a worker's speed as a factor of the average.
 func (c *Core) speedFactor(w *worker, now time.Time) float64 {
 	factor := c.speeds[w.ID].factor()
-	if now.Before(w.warmupUntil) && !c.bounds.Without[decide.MindCold] {
+	if now.Before(w.warmupUntil) && !c.bounds.Disabled[decide.TreatColdAsSlow] {
 		return min(factor, warmupSpeed)
 	}
 	return factor
--- a/workload/control/workers.go
+++ b/workload/control/workers.go
@@ -57,10 +57,10 @@
 // takeListing updates a worker from its newest entry.
 func (c *Core) takeListing(w *worker, l Listing, now time.Time) {
 	if l.Draining && !w.Draining {
-		c.emit(Note{Event: EventWorkerDraining, Worker: l.ID})
+		c.emit(Event{Name: EventWorkerDraining, Worker: l.ID})
 	}
 	if l.Unreadable && !w.Unreadable {
-		c.emit(Note{Event: EventWorkerUnreadable, Worker: l.ID})
+		c.emit(Event{Name: EventWorkerUnreadable, Worker: l.ID})
 	}
 	resized := w.Capacity != l.Capacity && w.Address != ""
 	c.checkListedStart(w, l, now)
@@ -71,9 +71,9 @@
 	}
 	w.Listing = l
 	if resized {
-		c.emit(Note{Event: EventWorkerResized, Worker: l.ID, Detail: fmt.Sprintf("cpu=%d mem_mib=%d accelerators=%d over=%t", l.Capacity.MilliCPU, l.Capacity.MemoryMiB, l.Capacity.Accelerators, w.freeCapacity().Short())})
+		c.emit(Event{Name: EventWorkerResized, Worker: l.ID, Detail: fmt.Sprintf("cpu=%d mem_mib=%d accelerators=%d over=%t", l.Capacity.MilliCPU, l.Capacity.MemoryMiB, l.Capacity.Accelerators, w.freeCapacity().HasNegative())})
 	}
-	if l.Born == w.startMS || !w.everReached {
+	if l.StartMS == w.startMS || !w.everReached {
 		c.readClock(w, l.ClockMS, now)
 	}
 }
@@ -146,7 +146,7 @@
 	}
 	w.gone = true
 	w.reachable = false
-	c.emit(Note{Event: EventWorkerGone, Worker: w.ID, Why: reason})
+	c.emit(Event{Name: EventWorkerGone, Worker: w.ID, Reason: reason})
 	c.releaseRuns(w, reason, now)
 }
 
@@ -160,7 +160,7 @@
 			// answers.
 			w.renewalInFlight, w.nextRenewalAt = false, now
 		}
-		c.emit(Note{Event: EventWorkerSilent, Worker: w.ID})
+		c.emit(Event{Name: EventWorkerSilent, Worker: w.ID})
 	}
 	w.reachable = false
 }
@@ -170,9 +170,9 @@
 // about to expire.
 const maxFirstPolls = 500
 
-// NeedsHold lists the workers that need a lease renewal, a poll or an acknowledgement, and have
-// no renewal in flight.
-func (c *Core) NeedsHold(now time.Time) []string {
+// WorkersToRenew lists the workers that need a lease renewal, a poll or an acknowledgement, and
+// have no renewal in flight.
+func (c *Core) WorkersToRenew(now time.Time) []string {
 	var out []string
 	probes := map[string]int{}
 	anySilent := c.hasSilentCentre()
@@ -209,26 +209,26 @@
 // again.
 func (c *Core) isProbed(w *worker) bool { return w.listed && !w.gone && w.Address != "" && c.cutOff(w) }
 
-// Hold returns the next lease renewal of a worker. ok is false if it needs none.
-func (c *Core) Hold(id string, now time.Time) (HoldOrder, bool) {
+// NextRenewal returns the next lease renewal of a worker. ok is false if it needs none.
+func (c *Core) NextRenewal(id string, now time.Time) (RenewalOrder, bool) {
 	w := c.workers[id]
 	if w == nil || w.renewalInFlight || (!c.wantsRenewal(w, now) && !c.isProbed(w)) || now.Before(w.nextRenewalAt) {
-		return HoldOrder{}, false
+		return RenewalOrder{}, false
 	}
 	w.renewalInFlight = true
 	w.renewalNumber++
 	w.renewalClockMS = w.clockMS
-	order := HoldOrder{Worker: id, Address: w.Address, Life: w.number, Number: w.renewalNumber, Token: w.token}
+	order := RenewalOrder{Worker: id, Address: w.Address, Incarnation: w.number, Number: w.renewalNumber, Token: w.token}
 	if w.reachable && !w.restartSuspected && w.persistedEnd > w.acknowledgedEnd {
 		// One acknowledgement is enough. It must not be sent while it is unknown which
 		// incarnation answers: another one would forget as many ends that nobody has read.
-		order.Cursor = w.persistedEnd
-		c.emit(Note{Event: EventEndsAcknowledged, Worker: id, Detail: fmt.Sprintf("before=%d cursor=%d seen=%d", w.acknowledgedEnd, w.persistedEnd, w.receivedEnd)})
+		order.AcknowledgedEnd = w.persistedEnd
+		c.emit(Event{Name: EventEndsAcknowledged, Worker: id, Detail: fmt.Sprintf("before=%d cursor=%d seen=%d", w.acknowledgedEnd, w.persistedEnd, w.receivedEnd)})
 		order.To = w.recipient(now)
 	}
 	if w.reachable {
 		order.DeadlineMS = c.nextDeadline(w, now)
-		order.Wait = c.boundPollWait(w, c.bounds.Wait)
+		order.Wait = c.boundPollWait(w, c.bounds.PollWait)
 	} else {
 		order.DeadlineMS = w.deadlineMS
 	}
--- a/workload/decide/classes.go
+++ b/workload/decide/classes.go
@@ -27,9 +27,9 @@
 // compared with several others.
 const speedThreshold = 1.1
 
-// Slow reports whether a worker with the given speed relative to the average counts as slow; 0 is
+// IsSlow reports whether a worker with the given speed relative to the average counts as slow; 0 is
 // unknown.
-func Slow(speed float64) bool { return speed > 0 && speed < 1/speedThreshold }
+func IsSlow(speed float64) bool { return speed > 0 && speed < 1/speedThreshold }
 
 // isFast reports whether a worker with the given speed counts as faster than most.
 func isFast(speed float64) bool { return speed > speedThreshold }
@@ -40,7 +40,7 @@
 	p.byClass = map[speedClass][]*workerState{}
 	p.racksByClass = map[speedClass]map[string][]*workerState{notSlow: {}, slow: {}, fast: {}, notFast: {}}
 	for _, w := range p.workers {
-		p.addToClass(w, Slow(w.Speed), slow, notSlow)
+		p.addToClass(w, IsSlow(w.Speed), slow, notSlow)
 		p.addToClass(w, isFast(w.Speed), fast, notFast)
 	}
 }
@@ -59,7 +59,7 @@
 	someSlow := len(p.byClass[slow]) > 0 && len(p.byClass[notSlow]) > 0
 	someFast := len(p.byClass[fast]) > 0 && len(p.byClass[notFast]) > 0
 	switch {
-	case p.snapshot.Without[WorkerSpeeds] || !(someSlow || someFast):
+	case p.snapshot.Disabled[WorkerSpeeds] || !(someSlow || someFast):
 		return anySpeedOnly
 	case u.Priority == 0 && someFast:
 		return fastThenNotSlow
--- a/workload/decide/decide.go
+++ b/workload/decide/decide.go
@@ -1,6 +1,6 @@
 // Package decide chooses which waiting units start on which workers, and which running groups are
-// stopped to make room for them. Make is a pure function of its Snapshot: it reads no clock, does
-// no I/O and keeps no state between calls.
+// stopped to make room for them. MakePlan is a pure function of its Snapshot: it reads no clock,
+// does no I/O and keeps no state between calls.
 //
 // Units are placed in a fixed order (order.go). Each is tried on free capacity, then on capacity
 // that is being freed and, if it may preempt, on capacity that victims hold (preempt.go). A unit
@@ -23,11 +23,11 @@
 	Labels map[string]bool
 	// Free is the capacity that no task holds.
 	Free workload.Resources
-	// Capacity held by tasks that have been ordered to stop.
-	Coming workload.Resources
-	// Number of accelerators held by work below the top priority that would be lost if it were
-	// stopped.
-	Firm int64
+	// Freeing is the capacity held by tasks that have been ordered to stop.
+	Freeing workload.Resources
+	// NonCheckpointed is the number of accelerators held by work below the top priority that
+	// would be lost if it were stopped.
+	NonCheckpointed int64
 	// Capacity is the capacity of the empty worker.
 	Capacity workload.Resources
 	// Speed is the worker's speed relative to the average; 0 if unknown.
@@ -35,26 +35,26 @@
 	// Closed workers get no new tasks, for example because they are draining, silent or
 	// distrusted.
 	Closed bool
-	// Job whose suspect has just started on the worker; tasks of other jobs are kept off. Empty if
-	// none.
-	Watched workload.JobID
-	// Whether a run on the worker has just started.
-	Unsettled bool
-	// A job that has a run on the worker, empty if there is none; the only such job unless the
-	// next field is set.
-	Occupant workload.JobID
-	// Whether several jobs have runs on the worker.
-	Shared bool
-	// Whether the worker is closed until operators say otherwise. Its capacity is not part of the
-	// pool, whereas the capacity of other closed workers is expected back.
-	Removed bool
+	// SuspectJob is the job whose suspect has just started on the worker; tasks of other jobs are
+	// kept off. Empty if none.
+	SuspectJob workload.JobID
+	// HasRecentStart reports whether a run on the worker has just started.
+	HasRecentStart bool
+	// RunningJob is a job that has a run on the worker, empty if there is none; the only such job
+	// unless HasSeveralJobs is set.
+	RunningJob workload.JobID
+	// HasSeveralJobs reports whether several jobs have runs on the worker.
+	HasSeveralJobs bool
+	// Evacuated reports whether the worker is closed until operators say otherwise. Its capacity is
+	// not part of the pool, whereas the capacity of other closed workers is expected back.
+	Evacuated bool
 }
 
 // UnitKey identifies a step of an occurrence of a job.
 type UnitKey struct {
-	Job  workload.JobID
-	K    int
-	Step int
+	Job        workload.JobID
+	Occurrence int
+	Step       int
 }
 
 // Unit is work that waits to start: a whole gang, or those tasks of a step that may start one by
@@ -66,26 +66,26 @@
 	Service string
 	// Indexes are the tasks of the step that are to start.
 	Indexes []int
-	// Number of the step's tasks that are already on each worker.
-	Beside map[string]int
+	// Placed is the number of the step's tasks that are already on each worker.
+	Placed map[string]int
 	// Avoid is the set of workers on which the unit's tasks have failed.
 	Avoid map[string]bool
 	// Suspect reports whether a worker has crashed while it ran one of the unit's tasks.
 	Suspect bool
-	// Whether the unit may only run on a worker without runs of other jobs.
-	Alone bool
+	// Exclusive reports whether the unit may only run on a worker without runs of other jobs.
+	Exclusive bool
 	// Priority is the priority of the queue; lower values go first.
 	Priority int
 	// Guaranteed reports whether the unit is within its account's guarantee.
 	Guaranteed bool
-	// Time from which the unit could have started.
-	Since time.Time
+	// ReadySince is the time from which the unit could have started.
+	ReadySince time.Time
 	// LatestStart is the latest start with which the unit still ends within its objective.
 	LatestStart time.Time
-	// Latest start that still has any value.
-	Worthless time.Time
-	// Expected run time.
-	Run time.Duration
+	// WorthlessAfter is the latest start that still has any value.
+	WorthlessAfter time.Time
+	// RunTime is the expected run time.
+	RunTime time.Duration
 	// Allowed restricts the unit to these workers; nil allows all.
 	Allowed map[string]bool
 }
@@ -94,20 +94,20 @@
 type Group struct {
 	Key   UnitKey
 	Index int
-	// What the group holds on each worker; a worker occurs once.
-	Held []Allocation
+	// Allocations is what the group holds on each worker; a worker occurs once.
+	Allocations []Allocation
 	// Priority is the priority of the queue.
 	Priority int
 	// Guaranteed reports whether the group is within its account's guarantee.
 	Guaranteed bool
-	// Work that a stop would throw away, in core-seconds.
-	Lost float64
-	// Time until the group is expected to end; 0 if unknown.
-	Left time.Duration
+	// LostWork is the work that a stop would throw away, in core-seconds.
+	LostWork float64
+	// RemainingTime is the time until the group is expected to end; 0 if unknown.
+	RemainingTime time.Duration
 	// Stopping reports whether the group has been ordered to stop.
 	Stopping bool
-	// Whether the group must not be stopped for others.
-	Fixed bool
+	// NonPreemptible reports whether the group must not be stopped for others.
+	NonPreemptible bool
 }
 
 // Allocation is what a group holds on one worker.
@@ -118,13 +118,13 @@
 
 // Add adds resources that the group holds on a worker.
 func (g *Group) Add(worker string, more workload.Resources) {
-	for i := range g.Held {
-		if g.Held[i].Worker == worker {
-			g.Held[i].Resources = g.Held[i].Resources.Add(more)
+	for i := range g.Allocations {
+		if g.Allocations[i].Worker == worker {
+			g.Allocations[i].Resources = g.Allocations[i].Resources.Add(more)
 			return
 		}
 	}
-	g.Held = append(g.Held, Allocation{worker, more})
+	g.Allocations = append(g.Allocations, Allocation{worker, more})
 }
 
 // Snapshot is the complete input of a plan.
@@ -135,20 +135,21 @@
 	Running []Group
 	// Headroom is the number of accelerators that top-priority work is expected to need at once.
 	Headroom int64
-	// Whether no new work has arrived for a long time. Capacity that is held back for expected
-	// arrivals is then wasted.
-	Quiet bool
-	// Share of the top-priority units that have less time left to start than a stop takes.
-	Hurried float64
+	// NoRecentArrivals reports whether no new work has arrived for a long time. Capacity that is
+	// held back for expected arrivals is then wasted.
+	NoRecentArrivals bool
+	// UrgentShare is the share of the top-priority units that have less time left to start than a
+	// stop takes.
+	UrgentShare float64
 	// ReclaimWithin is the time within which guaranteed work has to start.
 	ReclaimWithin time.Duration
 	// StopTimeout is the longest time that a stop takes.
 	StopTimeout time.Duration
-	// Factor by which a task runs longer away from its data, or in a gang that spans racks
-	// although it prefers one; 0 means no longer.
-	FarFactor float64
-	// Mechanisms that are disabled.
-	Without Without
+	// RemoteFactor is the factor by which a task runs longer away from its data, or in a gang that
+	// spans racks although it prefers one; 0 means no longer.
+	RemoteFactor float64
+	// Disabled is the set of disabled mechanisms.
+	Disabled DisabledMechanisms
 }
 
 // Assignment starts a task on a worker.
@@ -156,8 +157,8 @@
 	Unit   int
 	Index  int
 	Worker string
-	// Whether the task runs outside the rack of its data or of its gang.
-	Far bool
+	// Remote reports whether the task runs outside the rack of its data or of its gang.
+	Remote bool
 }
 
 // Reason is a stable code for why a unit does not start now.
@@ -171,39 +172,41 @@
 	NoWorker     Reason = "no-worker"
 	// WaitsForAdvice means that the workers which the queue's policy allows are not known yet.
 	WaitsForAdvice Reason = "waits-for-advice"
-	// PoolUnsettled means that several workers have crashed under the unit, and that many others
+	// PoolUnstable means that several workers have crashed under the unit, and that many others
 	// have crashed without it just now.
-	PoolUnsettled Reason = "pool-unsettled"
+	PoolUnstable Reason = "pool-unsettled"
 )
 
-// Held is a unit that waits, with the reason.
-type Held struct {
+// DeferredUnit is a unit that waits, with the reason.
+type DeferredUnit struct {
 	Unit   int
 	Reason Reason
 }
 
-// Plan is the result of Make.
+// Plan is the result of MakePlan.
 type Plan struct {
 	Starts []Assignment
 	// Stops are indexes into Snapshot.Running.
-	Stops []int
-	Held  []Held
-	Load  Load
+	Stops    []int
+	Deferred []DeferredUnit
+	Load     Load
 }
 
 // Load describes the state of the pool that the plan was made for.
 type Load struct {
-	// Share of the accelerators or of the processors in use, whichever is larger, closed workers
-	// included.
-	Used float64
-	// Whether so much capacity is free that units wait only briefly for a better place.
-	Idle bool
-	// Numbers of racks that are reserved and of workers that get no new tasks.
-	Kept, Closed int
+	// Utilization is the share of the accelerators or of the processors in use, whichever is
+	// larger, closed workers included.
+	Utilization float64
+	// Underused reports whether so much capacity is free that units wait only briefly for a better
+	// place.
+	Underused bool
+	// ReservedRacks is the number of reserved racks, ClosedWorkers that of workers that get no new
+	// tasks.
+	ReservedRacks, ClosedWorkers int
 }
 
-// Make plans which units start and which groups stop.
-func Make(s *Snapshot) Plan {
+// MakePlan plans which units start and which groups stop.
+func MakePlan(s *Snapshot) Plan {
 	p := newPlanner(s)
 	for _, i := range order(s) {
 		p.place(i)
@@ -255,11 +258,11 @@
 	for i := range s.Workers {
 		w := &s.Workers[i]
 		if w.Closed {
-			p.plan.Load.Closed++
+			p.plan.Load.ClosedWorkers++
 			continue
 		}
 		state := &states[i]
-		*state = workerState{Worker: w, index: len(p.workers), free: w.Free, freeing: w.Coming, suspectJob: w.Watched, hasRecentStart: w.Unsettled, runningJob: w.Occupant, hasSeveralJobs: w.Shared}
+		*state = workerState{Worker: w, index: len(p.workers), free: w.Free, freeing: w.Freeing, suspectJob: w.SuspectJob, hasRecentStart: w.HasRecentStart, runningJob: w.RunningJob, hasSeveralJobs: w.HasSeveralJobs}
 		p.workers = append(p.workers, state)
 		if len(p.racks[w.Rack]) == 0 && w.Rack != "" {
 			// Workers whose rack is unknown do not form a rack.
@@ -269,10 +272,10 @@
 	}
 	p.groupBySpeed()
 	least, most := utilization(s.Workers, false)
-	p.plan.Load.Used = most
-	p.underused = most < busyShare || (s.Quiet && least < busyShare) || mostlyIdle(s.Workers)
-	p.plan.Load.Idle = p.underused
-	p.plan.Load.Kept = p.reserveRacks()
+	p.plan.Load.Utilization = most
+	p.underused = most < busyShare || (s.NoRecentArrivals && least < busyShare) || mostlyIdle(s.Workers)
+	p.plan.Load.Underused = p.underused
+	p.plan.Load.ReservedRacks = p.reserveRacks()
 	return p
 }
 
@@ -292,7 +295,7 @@
 func utilization(workers []Worker, countEvacuated bool) (least, most float64) {
 	var capacity, free workload.Resources
 	for i := range workers {
-		if workers[i].Removed && !countEvacuated {
+		if workers[i].Evacuated && !countEvacuated {
 			continue
 		}
 		capacity = capacity.Add(workers[i].Capacity)
@@ -328,7 +331,7 @@
 // canWait reports whether the unit may wait for a better place. It may not for long while there is
 // free capacity elsewhere, and guaranteed work has to start in time.
 func (p *planner) canWait(u *Unit) bool {
-	waited := p.snapshot.Now.Sub(u.Since)
+	waited := p.snapshot.Now.Sub(u.ReadySince)
 	if p.underused && waited > maxUnderusedWait {
 		return false
 	}
@@ -348,10 +351,10 @@
 // of starting remotely at once. After its latest start it waits for as long as a remote start
 // would cost it, so that it loses at most twice the unavoidable time.
 func (p *planner) waitsForLocality(u *Unit) bool {
-	if p.snapshot.Without[WaitNear] {
+	if p.snapshot.Disabled[WaitForLocality] {
 		return false
 	}
-	cost := time.Duration(max(0, p.snapshot.FarFactor-1) * float64(u.Run))
+	cost := time.Duration(max(0, p.snapshot.RemoteFactor-1) * float64(u.RunTime))
 	return p.canWait(u) && p.snapshot.Now.Before(u.LatestStart.Add(cost))
 }
 
@@ -370,10 +373,10 @@
 func (w *workerState) allocate(need workload.Resources) { w.free = w.free.Sub(need) }
 
 func (p *planner) assign(unit, index int, w *workerState, remote bool) {
-	p.plan.Starts = append(p.plan.Starts, Assignment{Unit: unit, Index: index, Worker: w.ID, Far: remote})
+	p.plan.Starts = append(p.plan.Starts, Assignment{Unit: unit, Index: index, Worker: w.ID, Remote: remote})
 	w.recordStart(&p.snapshot.Waiting[unit])
 }
 
 func (p *planner) deferUnit(unit int, reason Reason) {
-	p.plan.Held = append(p.plan.Held, Held{Unit: unit, Reason: reason})
+	p.plan.Deferred = append(p.plan.Deferred, DeferredUnit{Unit: unit, Reason: reason})
 }
--- a/workload/decide/decide_test.go
+++ b/workload/decide/decide_test.go
@@ -38,7 +38,7 @@
 func gang(count int, each int64, sameRack bool) Unit {
 	return Unit{
 		Key: UnitKey{Job: "g"}, Step: &workload.Step{Count: count, Need: gpus(each), Gang: true, SameRack: sameRack},
-		Indexes: indexes(count), Since: now, LatestStart: now.Add(time.Second), Worthless: now.Add(time.Minute),
+		Indexes: indexes(count), ReadySince: now, LatestStart: now.Add(time.Second), WorthlessAfter: now.Add(time.Minute),
 	}
 }
 
@@ -58,15 +58,15 @@
 
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 4}), Waiting: []Unit{gang(4, 4, false)}}
-	p := Make(s)
-	if len(p.Starts) != 0 || len(p.Held) != 1 || p.Held[0].Reason != NoCapacity {
+	p := MakePlan(s)
+	if len(p.Starts) != 0 || len(p.Deferred) != 1 || p.Deferred[0].Reason != NoCapacity {
 		t.Fatalf("%+v", p)
 	}
 }
 
 func TestSameRackGangTakesTheTightestRack(t *testing.T) {
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 8}, []int64{4, 4}), Waiting: []Unit{gang(2, 4, true)}}
-	for _, w := range workersOf(Make(s)) {
+	for _, w := range workersOf(MakePlan(s)) {
 		if w[0] != 'b' {
 			t.Fatalf("a task started on %s", w)
 		}
@@ -76,18 +76,18 @@
 func TestSameRackGangWaitsForARackUntilItIsLate(t *testing.T) {
 	u := gang(2, 8, true)
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 0}, []int64{8, 0}), Waiting: []Unit{u}}
-	if p := Make(s); len(p.Starts) != 0 {
+	if p := MakePlan(s); len(p.Starts) != 0 {
 		t.Fatalf("the gang spans racks although it could wait: %+v", p)
 	}
 	s.Waiting[0].LatestStart = now.Add(-time.Second)
-	if p := Make(s); len(p.Starts) != 2 || !p.Starts[0].Far {
+	if p := MakePlan(s); len(p.Starts) != 2 || !p.Starts[0].Remote {
 		t.Fatalf("the gang does not span racks although it is late: %+v", p)
 	}
 }
 
 func TestTasksFillTheTightestWorker(t *testing.T) {
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 2, 5}), Waiting: []Unit{singles(1, 2)}}
-	if got := workersOf(Make(s)); len(got) != 1 || got[0] != "a1" {
+	if got := workersOf(MakePlan(s)); len(got) != 1 || got[0] != "a1" {
 		t.Fatalf("%v", got)
 	}
 }
@@ -102,14 +102,14 @@
 		"avoid":   {func(s *Snapshot) { s.Waiting[0].Avoid = map[string]bool{"a0": true, "a1": true} }, []string{"a2", "a2"}},
 		"allowed": {func(s *Snapshot) { s.Waiting[0].Allowed = map[string]bool{"a1": true} }, []string{"a1", "a1"}},
 		"closed":  {func(s *Snapshot) { s.Workers[0].Closed = true; s.Workers[1].Closed = true }, []string{"a2", "a2"}},
-		"spread":  {func(s *Snapshot) { s.Waiting[0].Step.Spread = 1 }, []string{"a0", "a1"}},
-		"beside":  {func(s *Snapshot) { s.Waiting[0].Step.Spread = 1; s.Waiting[0].Beside = map[string]int{"a0": 1} }, []string{"a1", "a2"}},
+		"spread":  {func(s *Snapshot) { s.Waiting[0].Step.PerWorker = 1 }, []string{"a0", "a1"}},
+		"beside":  {func(s *Snapshot) { s.Waiting[0].Step.PerWorker = 1; s.Waiting[0].Placed = map[string]int{"a0": 1} }, []string{"a1", "a2"}},
 		"data":    {func(s *Snapshot) { s.Waiting[0].Step.DataRack = "b"; s.Workers[1].Rack = "b" }, []string{"a1", "a1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &Snapshot{Now: now, Workers: racks([]int64{4, 4, 4}), Waiting: []Unit{singles(2, 1)}}
 			c.change(s)
-			got := workersOf(Make(s))
+			got := workersOf(MakePlan(s))
 			if len(got) != 2 || got[0] != c.want[0] || got[1] != c.want[1] {
 				t.Fatalf("%v, want %v", got, c.want)
 			}
@@ -126,25 +126,25 @@
 	s := &Snapshot{
 		Now: now, Workers: racks([]int64{0, 0}, []int64{0, 0}), Waiting: []Unit{later, urgent},
 		Running: []Group{
-			{Key: UnitKey{Job: "dear"}, Priority: 1, Lost: 900, Held: []Allocation{{"a0", gpus(8)}, {"a1", gpus(8)}}},
-			{Key: UnitKey{Job: "cheap"}, Priority: 2, Lost: 10, Held: []Allocation{{"b0", gpus(8)}, {"b1", gpus(8)}}},
+			{Key: UnitKey{Job: "dear"}, Priority: 1, LostWork: 900, Allocations: []Allocation{{"a0", gpus(8)}, {"a1", gpus(8)}}},
+			{Key: UnitKey{Job: "cheap"}, Priority: 2, LostWork: 10, Allocations: []Allocation{{"b0", gpus(8)}, {"b1", gpus(8)}}},
 		},
 	}
-	p := Make(s)
+	p := MakePlan(s)
 	if len(p.Stops) != 1 || s.Running[p.Stops[0]].Key.Job != "cheap" || len(p.Starts) != 0 {
 		t.Fatalf("%+v", p)
 	}
 	// While the stop is in progress its capacity stays reserved, and nothing else is stopped.
 	s.Running[1].Stopping = true
-	s.Workers[2].Coming, s.Workers[3].Coming = gpus(8), gpus(8)
-	if p = Make(s); len(p.Stops) != 0 || len(p.Starts) != 0 {
+	s.Workers[2].Freeing, s.Workers[3].Freeing = gpus(8), gpus(8)
+	if p = MakePlan(s); len(p.Stops) != 0 || len(p.Starts) != 0 {
 		t.Fatalf("while the stop is in progress: %+v", p)
 	}
 	// Once the capacity is free, the gang gets it and the later unit does not.
 	s.Running = s.Running[:1]
 	s.Workers[2].Free, s.Workers[3].Free = gpus(8), gpus(8)
-	s.Workers[2].Coming, s.Workers[3].Coming = gpus(0), gpus(0)
-	if p = Make(s); len(p.Starts) != 2 || p.Starts[0].Unit != 1 {
+	s.Workers[2].Freeing, s.Workers[3].Freeing = gpus(0), gpus(0)
+	if p = MakePlan(s); len(p.Starts) != 2 || p.Starts[0].Unit != 1 {
 		t.Fatalf("after the stop: %+v", p)
 	}
 }
@@ -163,13 +163,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := gang(1, 8, false)
-			u.Run = 2 * time.Second
+			u.RunTime = 2 * time.Second
 			u.Priority = c.priority
 			if c.late {
 				u.LatestStart = now.Add(-time.Second)
 			}
-			s := &Snapshot{Now: now, Workers: racks([]int64{0}), Waiting: []Unit{u}, Running: []Group{{Key: UnitKey{Job: "x"}, Priority: 2, Lost: c.lost, Held: []Allocation{{"a0", gpus(8)}}}}}
-			if p := Make(s); len(p.Stops) != c.stops {
+			s := &Snapshot{Now: now, Workers: racks([]int64{0}), Waiting: []Unit{u}, Running: []Group{{Key: UnitKey{Job: "x"}, Priority: 2, LostWork: c.lost, Allocations: []Allocation{{"a0", gpus(8)}}}}}
+			if p := MakePlan(s); len(p.Stops) != c.stops {
 				t.Fatalf("%+v", p)
 			}
 		})
@@ -181,7 +181,7 @@
 func TestPlansRespectCapacityAndNeverSplitGangs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSnapshot(t)
-		p := Make(s)
+		p := MakePlan(s)
 		used := map[string]int64{}
 		per := map[int]int{}
 		for _, a := range p.Starts {
@@ -217,11 +217,11 @@
 			held := rapid.Int64Range(0, 8).Draw(t, "held")
 			w.Free = gpus(8 - held)
 			if held > 0 {
-				g := Group{Key: UnitKey{Job: workload.JobID(w.ID)}, Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Held: []Allocation{{w.ID, gpus(held)}}, Lost: float64(held)}
+				g := Group{Key: UnitKey{Job: workload.JobID(w.ID)}, Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Allocations: []Allocation{{w.ID, gpus(held)}}, LostWork: float64(held)}
 				g.Guaranteed = rapid.Bool().Draw(t, "guaranteed")
 				if rapid.Bool().Draw(t, "stopping") {
 					g.Stopping = true
-					w.Coming = gpus(held)
+					w.Freeing = gpus(held)
 				}
 				s.Running = append(s.Running, g)
 			}
@@ -258,12 +258,12 @@
 		"all racks are reserved":    {nonCheckpointed, 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.unit.Since = now.Add(-2 * time.Second)
+			c.unit.ReadySince = now.Add(-2 * time.Second)
 			c.unit.LatestStart = now.Add(time.Minute)
 			free := racks([]int64{8, 7, 7, 7}, []int64{7, 7, 7, 8})
 			free[7].Rack = "c"
 			s := &Snapshot{Now: now, Workers: free, Waiting: []Unit{c.unit}, Headroom: c.headroom}
-			if p := Make(s); len(p.Starts) != 2 {
+			if p := MakePlan(s); len(p.Starts) != 2 {
 				t.Fatalf("%+v", p)
 			}
 		})
@@ -276,10 +276,10 @@
 	u := singles(2, 8)
 	u.Guaranteed = true
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 4, 4}), Waiting: []Unit{u}, Running: []Group{
-		{Key: UnitKey{Job: "dear"}, Priority: 1, Lost: 900, Held: []Allocation{{"a1", gpus(4)}}},
-		{Key: UnitKey{Job: "cheap"}, Priority: 1, Lost: 10, Held: []Allocation{{"a2", gpus(4)}}},
+		{Key: UnitKey{Job: "dear"}, Priority: 1, LostWork: 900, Allocations: []Allocation{{"a1", gpus(4)}}},
+		{Key: UnitKey{Job: "cheap"}, Priority: 1, LostWork: 10, Allocations: []Allocation{{"a2", gpus(4)}}},
 	}}
-	p := Make(s)
+	p := MakePlan(s)
 	if len(p.Starts) != 1 || len(p.Stops) != 1 || s.Running[p.Stops[0]].Key.Job != "cheap" {
 		t.Fatalf("%+v", p)
 	}
@@ -290,9 +290,9 @@
 	u.Guaranteed = true
 	u.Step.DataRack = "b"
 	u.LatestStart = now.Add(time.Minute)
-	u.Since = now.Add(-2 * time.Second)
+	u.ReadySince = now.Add(-2 * time.Second)
 	s := &Snapshot{Now: now, Workers: racks([]int64{8, 0, 0}, []int64{0, 0, 0}), Waiting: []Unit{u}, ReclaimWithin: 3 * time.Second, StopTimeout: 900 * time.Millisecond}
-	if p := Make(s); len(p.Starts) != 1 {
+	if p := MakePlan(s); len(p.Starts) != 1 {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -302,15 +302,15 @@
 func TestLateGangSpansRacksOnceWaitingHasCostAsMuch(t *testing.T) {
 	u := gang(2, 8, true)
 	u.Priority = 1
-	u.Run = 4 * time.Second
+	u.RunTime = 4 * time.Second
 	for _, c := range []struct {
 		late   time.Duration
 		starts int
 	}{{0, 0}, {7 * time.Second, 0}, {9 * time.Second, 2}} {
 		u.LatestStart = now.Add(-c.late)
-		u.Since = now.Add(-time.Minute)
-		s := &Snapshot{Now: now, Workers: racks([]int64{8, 0, 0}, []int64{8, 0, 0}), Waiting: []Unit{u}, FarFactor: 3}
-		if p := Make(s); len(p.Starts) != c.starts {
+		u.ReadySince = now.Add(-time.Minute)
+		s := &Snapshot{Now: now, Workers: racks([]int64{8, 0, 0}, []int64{8, 0, 0}), Waiting: []Unit{u}, RemoteFactor: 3}
+		if p := MakePlan(s); len(p.Starts) != c.starts {
 			t.Errorf("%v after the latest start: %+v", c.late, p)
 		}
 	}
@@ -329,9 +329,9 @@
 			u := gang(2, 8, false)
 			u.Guaranteed = c.waits
 			s := &Snapshot{Now: now, Workers: racks([]int64{0, 0}), Waiting: []Unit{u}, Running: []Group{
-				{Key: UnitKey{Job: "runs"}, Guaranteed: c.runs, Lost: 1, Held: []Allocation{{"a0", gpus(8)}, {"a1", gpus(8)}}},
+				{Key: UnitKey{Job: "runs"}, Guaranteed: c.runs, LostWork: 1, Allocations: []Allocation{{"a0", gpus(8)}, {"a1", gpus(8)}}},
 			}}
-			if p := Make(s); len(p.Stops) != c.stops {
+			if p := MakePlan(s); len(p.Stops) != c.stops {
 				t.Fatalf("%+v", p)
 			}
 		})
@@ -342,10 +342,10 @@
 	u := gang(1, 8, false)
 	u.Guaranteed = true
 	s := &Snapshot{Now: now, Workers: racks([]int64{0, 0}), Waiting: []Unit{u}, Running: []Group{
-		{Key: UnitKey{Job: "young"}, Lost: 1, Held: []Allocation{{"a0", gpus(8)}}},
-		{Key: UnitKey{Job: "later"}, Priority: 1, Lost: 900, Held: []Allocation{{"a1", gpus(8)}}},
+		{Key: UnitKey{Job: "young"}, LostWork: 1, Allocations: []Allocation{{"a0", gpus(8)}}},
+		{Key: UnitKey{Job: "later"}, Priority: 1, LostWork: 900, Allocations: []Allocation{{"a1", gpus(8)}}},
 	}}
-	if p := Make(s); len(p.Stops) != 1 || s.Running[p.Stops[0]].Key.Job != "later" {
+	if p := MakePlan(s); len(p.Stops) != 1 || s.Running[p.Stops[0]].Key.Job != "later" {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -354,13 +354,13 @@
 	u := gang(1, 8, false)
 	u.Guaranteed = true
 	half := func(id workload.JobID, worker string, lost float64) Group {
-		return Group{Key: UnitKey{Job: id}, Priority: 1, Lost: lost, Held: []Allocation{{worker, gpus(4)}}}
+		return Group{Key: UnitKey{Job: id}, Priority: 1, LostWork: lost, Allocations: []Allocation{{worker, gpus(4)}}}
 	}
 	s := &Snapshot{Now: now, Workers: racks([]int64{0, 0}), Waiting: []Unit{u}, Running: []Group{
 		half("a", "a0", 10), half("b", "a0", 60), half("c", "a1", 20), half("d", "a1", 55),
 	}}
 	stopped := map[workload.JobID]bool{}
-	for _, v := range Make(s).Stops {
+	for _, v := range MakePlan(s).Stops {
 		stopped[s.Running[v].Key.Job] = true
 	}
 	if len(stopped) != 2 || !stopped["a"] || !stopped["b"] {
--- a/workload/decide/evacuated_test.go
+++ b/workload/decide/evacuated_test.go
@@ -23,9 +23,9 @@
 			s := &Snapshot{Now: now, Workers: racks(c.free)}
 			for i := range s.Workers {
 				s.Workers[i].Closed = i >= 2
-				s.Workers[i].Removed = i >= 2 && c.evacuated
+				s.Workers[i].Evacuated = i >= 2 && c.evacuated
 			}
-			if got := Make(s).Load; got.Idle != c.idle {
+			if got := MakePlan(s).Load; got.Underused != c.idle {
 				t.Fatalf("%+v", got)
 			}
 		})
@@ -40,8 +40,8 @@
 	for i := range s.Workers {
 		s.Workers[i].Rack = ""
 	}
-	p := Make(s)
-	if len(p.Starts) != 2 || !p.Starts[0].Far {
+	p := MakePlan(s)
+	if len(p.Starts) != 2 || !p.Starts[0].Remote {
 		t.Fatalf("%+v", p)
 	}
 }
--- a/workload/decide/fitlimits.go
+++ b/workload/decide/fitlimits.go
@@ -52,13 +52,13 @@
 }
 
 func (p *planner) shapeOf(u *Unit, class speedClass) shape {
-	return shape{need: u.Step.Counted(), service: u.Service, label: u.Step.Label, skipsReserved: p.skipsReserved, class: class}
+	return shape{need: u.Step.CapacityNeed(), service: u.Service, label: u.Step.Label, skipsReserved: p.skipsReserved, class: class}
 }
 
 // isUnconstrained reports whether the unit has no constraints on individual workers, so that a
 // search that fails for it also fails for every other unit of its shape.
 func (u *Unit) isUnconstrained() bool {
-	return u.Allowed == nil && len(u.Avoid) == 0 && u.Step.Spread == 0 && !u.Suspect
+	return u.Allowed == nil && len(u.Avoid) == 0 && u.Step.PerWorker == 0 && !u.Suspect
 }
 
 // limits returns the limits for the given kind of capacity, free or being freed.
--- a/workload/decide/groups.go
+++ b/workload/decide/groups.go
@@ -38,7 +38,7 @@
 	}
 	index := &groupIndex{byWorker: make([][]groupAllocation, len(workers)), byGroup: make([][]workerAllocation, len(s.Running))}
 	for i := range s.Running {
-		for _, held := range s.Running[i].Held {
+		for _, held := range s.Running[i].Allocations {
 			w := byID[held.Worker]
 			if w == nil {
 				continue
@@ -68,5 +68,5 @@
 // lostPerAccelerator is the work that stopping the group throws away for each accelerator that it
 // frees on the worker.
 func (a groupAllocation) lostPerAccelerator(s *Snapshot) float64 {
-	return s.Running[a.group].Lost / (0.01 + float64(a.Accelerators))
+	return s.Running[a.group].LostWork / (0.01 + float64(a.Accelerators))
 }
--- a/workload/decide/headroom.go
+++ b/workload/decide/headroom.go
@@ -10,12 +10,12 @@
 	nonCheckpointed := map[string]int64{}
 	capacity := map[string]int64{}
 	for _, w := range p.workers {
-		nonCheckpointed[w.Rack] += w.Firm
+		nonCheckpointed[w.Rack] += w.NonCheckpointed
 		capacity[w.Rack] += w.Capacity.Accelerators
 	}
 	racks := append([]string(nil), p.rackNames...)
 	sort.SliceStable(racks, func(a, b int) bool { return nonCheckpointed[racks[a]] < nonCheckpointed[racks[b]] })
-	if p.snapshot.Without[ClearRacks] {
+	if p.snapshot.Disabled[ReserveRacks] {
 		return 0
 	}
 	count := 0
@@ -52,5 +52,5 @@
 // whereas it starts at once in a rack that was kept idle. If stops are quick or the work has time,
 // idle racks would be wasted.
 func (p *planner) keepsReservedIdle() bool {
-	return !p.snapshot.Without[KeepIdle] && p.snapshot.Hurried >= minUrgentShare
+	return !p.snapshot.Disabled[KeepReservedIdle] && p.snapshot.UrgentShare >= minUrgentShare
 }
--- a/workload/decide/headroom_test.go
+++ b/workload/decide/headroom_test.go
@@ -11,11 +11,11 @@
 // non-checkpointed work, which must not be thrown away.
 func twoRackSnapshot() *Snapshot {
 	capacity := workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}
-	s := &Snapshot{Now: time.Unix(1000, 0), Headroom: 8, FarFactor: 3, StopTimeout: 900 * time.Millisecond}
+	s := &Snapshot{Now: time.Unix(1000, 0), Headroom: 8, RemoteFactor: 3, StopTimeout: 900 * time.Millisecond}
 	for _, id := range []string{"a1", "a2", "b1", "b2"} {
 		w := Worker{ID: id, Rack: id[:1], Service: "s", Capacity: capacity, Free: capacity}
 		if id[0] == 'b' {
-			w.Free.Accelerators, w.Firm = 1, 7
+			w.Free.Accelerators, w.NonCheckpointed = 1, 7
 		}
 		s.Workers = append(s.Workers, w)
 	}
@@ -27,7 +27,7 @@
 func checkpointingUnit(s *Snapshot, slack time.Duration) Unit {
 	return Unit{
 		Step: &workload.Step{Count: 1, Need: workload.Resources{Accelerators: 2}, Checkpoint: true}, Service: "s", Indexes: []int{0}, Priority: 1,
-		Since: s.Now, LatestStart: s.Now.Add(slack), Worthless: s.Now.Add(time.Hour), Run: time.Second,
+		ReadySince: s.Now, LatestStart: s.Now.Add(slack), WorthlessAfter: s.Now.Add(time.Hour), RunTime: time.Second,
 	}
 }
 
@@ -38,19 +38,19 @@
 		name     string
 		urgent   float64
 		slack    time.Duration
-		disabled Without
+		disabled DisabledMechanisms
 		starts   int
 	}{
 		{"top-priority work is urgent", 0.5, time.Minute, nil, 0},
 		{"top-priority work has time", 0.1, time.Minute, nil, 1},
 		{"the other work has no time", 0.5, -time.Second, nil, 1},
-		{"disabled", 0.5, time.Minute, Without{KeepIdle: true}, 1},
+		{"disabled", 0.5, time.Minute, DisabledMechanisms{KeepReservedIdle: true}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := twoRackSnapshot()
-			s.Hurried, s.Without = c.urgent, c.disabled
+			s.UrgentShare, s.Disabled = c.urgent, c.disabled
 			s.Waiting = []Unit{checkpointingUnit(s, c.slack)}
-			if plan := Make(s); len(plan.Starts) != c.starts {
+			if plan := MakePlan(s); len(plan.Starts) != c.starts {
 				t.Fatalf("%d starts, want %d; load %+v", len(plan.Starts), c.starts, plan.Load)
 			}
 		})
@@ -61,25 +61,25 @@
 // long for a better place.
 func TestClosedWorkersCountTowardsUtilization(t *testing.T) {
 	s := twoRackSnapshot()
-	s.Hurried = 1
+	s.UrgentShare = 1
 	for _, id := range []string{"c1", "c2", "c3", "c4", "c5"} {
 		w := Worker{ID: id, Rack: "c", Service: "s", Capacity: s.Workers[0].Capacity, Free: s.Workers[0].Capacity, Closed: true}
 		s.Workers = append(s.Workers, w)
 	}
 	u := checkpointingUnit(s, time.Minute)
-	u.Since = s.Now.Add(-2 * maxUnderusedWait)
+	u.ReadySince = s.Now.Add(-2 * maxUnderusedWait)
 	s.Waiting = []Unit{u}
-	if plan := Make(s); len(plan.Starts) != 1 || !plan.Load.Idle || plan.Load.Closed != 5 {
+	if plan := MakePlan(s); len(plan.Starts) != 1 || !plan.Load.Underused || plan.Load.ClosedWorkers != 5 {
 		t.Fatalf("%d starts, load %+v", len(plan.Starts), plan.Load)
 	}
 }
 
 func TestParseDisabledMechanisms(t *testing.T) {
-	got, err := ParseWithout(" keep-idle, distrust,")
-	if err != nil || len(got) != 2 || !got[KeepIdle] || !got[Distrust] {
+	got, err := ParseDisabled(" keep-idle, distrust,")
+	if err != nil || len(got) != 2 || !got[KeepReservedIdle] || !got[Distrust] {
 		t.Fatalf("%v, %v", got, err)
 	}
-	if _, err := ParseWithout("luck"); err == nil {
+	if _, err := ParseDisabled("luck"); err == nil {
 		t.Fatal("an unknown mechanism is accepted")
 	}
 }
@@ -89,10 +89,10 @@
 func TestNothingIsDeferredOnceArrivalsStop(t *testing.T) {
 	for _, quiet := range []bool{false, true} {
 		s := twoRackSnapshot()
-		s.Hurried, s.Quiet = 1, quiet
+		s.UrgentShare, s.NoRecentArrivals = 1, quiet
 		for i := range s.Workers {
 			s.Workers[i].Free = workload.Resources{MilliCPU: 8000, MemoryMiB: 64000, Accelerators: 5}
-			s.Workers[i].Firm = 0
+			s.Workers[i].NonCheckpointed = 0
 		}
 		for i := range 2 {
 			s.Workers[i].Free.Accelerators = 5
@@ -100,9 +100,9 @@
 		}
 		u := checkpointingUnit(s, time.Minute)
 		u.Step.Need.Accelerators = 4
-		u.Since = s.Now.Add(-2 * maxUnderusedWait)
+		u.ReadySince = s.Now.Add(-2 * maxUnderusedWait)
 		s.Waiting = []Unit{u}
-		if plan := Make(s); (len(plan.Starts) == 1) != quiet {
+		if plan := MakePlan(s); (len(plan.Starts) == 1) != quiet {
 			t.Errorf("quiet %t: %d starts, load %+v", quiet, len(plan.Starts), plan.Load)
 		}
 	}
--- a/workload/decide/mechanism.go
+++ b/workload/decide/mechanism.go
@@ -12,45 +12,45 @@
 
 // The mechanisms.
 const (
-	// ClearRacks reserves racks by keeping work out of them that a stop would throw away.
-	ClearRacks Mechanism = "clear-racks"
+	// ReserveRacks reserves racks by keeping work out of them that a stop would throw away.
+	ReserveRacks Mechanism = "clear-racks"
 	// WorkerSpeeds places gangs on workers of one speed, those of the top priority on the faster
 	// ones.
 	WorkerSpeeds Mechanism = "worker-speeds"
 	// StopBeyondGuarantee lets top-priority work preempt others beyond its account's guarantee.
 	StopBeyondGuarantee Mechanism = "stop-beyond-guarantee"
-	// WaitNear lets work wait for a place near its data or in one rack.
-	WaitNear Mechanism = "wait-near"
+	// WaitForLocality lets work wait for a place near its data or in one rack.
+	WaitForLocality Mechanism = "wait-near"
 	// LearnEstimates corrects the callers' estimates by measured run times.
 	LearnEstimates Mechanism = "learn-estimates"
 	// Distrust suspends workers on which one task after another fails.
 	Distrust Mechanism = "distrust"
-	// KeepIdle keeps reserved racks free of work that could be stopped without loss, too.
-	KeepIdle Mechanism = "keep-idle"
-	// WatchCentres closes a data centre to new work while it does not respond.
-	WatchCentres Mechanism = "watch-centres"
-	// MindCold treats workers that have just started as slow.
-	MindCold Mechanism = "mind-cold"
-	// LeaveEarly stops runs that would not end before their worker leaves.
-	LeaveEarly Mechanism = "leave-early"
-	// SuspectsApart isolates tasks under which a worker has crashed from one another and from
+	// KeepReservedIdle keeps reserved racks free of work that could be stopped without loss, too.
+	KeepReservedIdle Mechanism = "keep-idle"
+	// CloseSilentCentres closes a data centre to new work while it does not respond.
+	CloseSilentCentres Mechanism = "watch-centres"
+	// TreatColdAsSlow treats workers that have just started as slow.
+	TreatColdAsSlow Mechanism = "mind-cold"
+	// StopBeforeDeparture stops runs that would not end before their worker leaves.
+	StopBeforeDeparture Mechanism = "leave-early"
+	// IsolateSuspects isolates tasks under which a worker has crashed from one another and from
 	// other runs that have just started.
-	SuspectsApart Mechanism = "suspects-apart"
+	IsolateSuspects Mechanism = "suspects-apart"
 )
 
 // Mechanisms lists all mechanisms.
-var Mechanisms = []Mechanism{ClearRacks, WorkerSpeeds, StopBeyondGuarantee, WaitNear, LearnEstimates, Distrust, LeaveEarly, KeepIdle, WatchCentres, MindCold, SuspectsApart}
+var Mechanisms = []Mechanism{ReserveRacks, WorkerSpeeds, StopBeyondGuarantee, WaitForLocality, LearnEstimates, Distrust, StopBeforeDeparture, KeepReservedIdle, CloseSilentCentres, TreatColdAsSlow, IsolateSuspects}
 
-// Latest lists the mechanisms added by the last round of changes to the policy: with them disabled
-// it decides as it did before.
-var Latest = []Mechanism{KeepIdle, WatchCentres}
+// RecentMechanisms lists the mechanisms added by the last round of changes to the policy: with them
+// disabled it decides as it did before.
+var RecentMechanisms = []Mechanism{KeepReservedIdle, CloseSilentCentres}
 
-// Without is the set of disabled mechanisms; the policy ships with none disabled.
-type Without map[Mechanism]bool
+// DisabledMechanisms is the set of disabled mechanisms; the policy ships with none disabled.
+type DisabledMechanisms map[Mechanism]bool
 
-// ParseWithout parses a comma-separated list of mechanisms.
-func ParseWithout(list string) (Without, error) {
-	out := Without{}
+// ParseDisabled parses a comma-separated list of mechanisms.
+func ParseDisabled(list string) (DisabledMechanisms, error) {
+	out := DisabledMechanisms{}
 	for name := range strings.SplitSeq(list, ",") {
 		if name = strings.TrimSpace(name); name == "" {
 			continue
--- a/workload/decide/order.go
+++ b/workload/decide/order.go
@@ -49,7 +49,7 @@
 	switch {
 	case !now.After(u.LatestStart):
 		return inTime
-	case !now.After(u.Worthless):
+	case !now.After(u.WorthlessAfter):
 		return late
 	}
 	return worthless
--- a/workload/decide/place.go
+++ b/workload/decide/place.go
@@ -26,13 +26,13 @@
 	if (w.reserved && p.skipsReserved) || !u.accepts(w) {
 		return 0
 	}
-	if u.Step.Spread > 0 {
-		limit = min(limit, u.Step.Spread-u.Beside[w.ID])
+	if u.Step.PerWorker > 0 {
+		limit = min(limit, u.Step.PerWorker-u.Placed[w.ID])
 	}
 	if limit <= 0 {
 		return 0
 	}
-	return free.Count(u.Step.Counted(), limit)
+	return free.Count(u.Step.CapacityNeed(), limit)
 }
 
 // capacityKind selects the capacity that is considered.
@@ -128,11 +128,11 @@
 // the tasks that are left. A worker that got a task has even less free capacity, so it is filled
 // before the next one is tried.
 func (p *planner) fill(i int, u *Unit, remaining []int, workers []*workerState, remote bool) []int {
-	need := u.Step.Counted()
+	need := u.Step.CapacityNeed()
 	for _, m := range p.fittingWorkers(u, workers, freeCapacity, len(remaining)) {
 		for range min(m.count, len(remaining)) {
 			m.w.allocate(need)
-			if u.Step.Spread > 0 {
+			if u.Step.PerWorker > 0 {
 				u.countPlaced(m.w.ID)
 			}
 			p.assign(i, remaining[0], m.w, remote && m.w.Rack != u.Step.DataRack)
@@ -144,10 +144,10 @@
 
 // countPlaced counts one more task of the unit on a worker.
 func (u *Unit) countPlaced(worker string) {
-	if u.Beside == nil {
-		u.Beside = map[string]int{}
+	if u.Placed == nil {
+		u.Placed = map[string]int{}
 	}
-	u.Beside[worker]++
+	u.Placed[worker]++
 }
 
 // hasLessFree orders workers by free capacity, least first, so that large blocks stay whole.
@@ -188,7 +188,7 @@
 	next := 0
 	for _, m := range placements {
 		for range m.count {
-			m.w.allocate(u.Step.Counted())
+			m.w.allocate(u.Step.CapacityNeed())
 			p.assign(i, u.Indexes[next], m.w, remote)
 			next++
 		}
@@ -208,7 +208,7 @@
 func (p *planner) reserve(u *Unit, placements []placement) {
 	for _, m := range placements {
 		for range m.count {
-			m.w.allocate(u.Step.Counted())
+			m.w.allocate(u.Step.CapacityNeed())
 		}
 	}
 }
--- a/workload/decide/preempt.go
+++ b/workload/decide/preempt.go
@@ -9,7 +9,7 @@
 	if u.Priority > 0 || (!u.Guaranteed && u.lateness(p.snapshot.Now) != inTime) {
 		return false
 	}
-	if !u.Guaranteed && p.snapshot.Without[StopBeyondGuarantee] {
+	if !u.Guaranteed && p.snapshot.Disabled[StopBeyondGuarantee] {
 		return false
 	}
 	victims := p.findVictims(u, hasLowerPriority)
@@ -35,13 +35,13 @@
 // their short estimates where a stop takes a fifth of a second.
 const minStopOverhead = 100 * time.Millisecond
 
-// Hurries reports whether a unit with this much time left to start can't wait for a stop.
-func Hurries(slack, stopTimeout time.Duration) bool { return slack < stopTimeout+minStopOverhead }
+// IsUrgent reports whether a unit with this much time left to start can't wait for a stop.
+func IsUrgent(slack, stopTimeout time.Duration) bool { return slack < stopTimeout+minStopOverhead }
 
 // totalWork is all the work of the unit, in core-seconds. Beyond a guarantee no more work than
 // that is thrown away for it.
 func (u *Unit) totalWork() float64 {
-	return u.Run.Seconds() * u.Step.Need.CoreEquivalent() * float64(len(u.Indexes))
+	return u.RunTime.Seconds() * u.Step.Need.CoreEquivalent() * float64(len(u.Indexes))
 }
 
 type victimSet struct {
--- a/workload/decide/suspects.go
+++ b/workload/decide/suspects.go
@@ -11,7 +11,7 @@
 	if w.suspectJob != "" && w.suspectJob != u.Key.Job {
 		return false
 	}
-	return !u.Alone || (!w.hasSeveralJobs && (w.runningJob == "" || w.runningJob == u.Key.Job))
+	return !u.Exclusive || (!w.hasSeveralJobs && (w.runningJob == "" || w.runningJob == u.Key.Job))
 }
 
 // isSaferForSuspect orders workers for a suspect: workers without a recent start come first, and
--- a/workload/decide/suspects_test.go
+++ b/workload/decide/suspects_test.go
@@ -12,19 +12,19 @@
 func countStarts(change func(s *Snapshot)) map[string]int {
 	now := time.Unix(1000, 0)
 	capacity := workload.Resources{MilliCPU: 8000, MemoryMiB: 8000, Accelerators: 8}
-	s := &Snapshot{Now: now, ReclaimWithin: 3 * time.Second, FarFactor: 1}
+	s := &Snapshot{Now: now, ReclaimWithin: 3 * time.Second, RemoteFactor: 1}
 	for _, id := range []string{"w1", "w2", "w3"} {
 		s.Workers = append(s.Workers, Worker{ID: id, Rack: "r", Capacity: capacity, Free: capacity})
 	}
 	s.Workers[0].Free.Accelerators = 6
-	s.Workers[0].Occupant = "other"
+	s.Workers[0].RunningJob = "other"
 	s.Waiting = []Unit{
-		{Key: UnitKey{Job: "a"}, Step: &workload.Step{Count: 1, Need: workload.Resources{Accelerators: 1}}, Indexes: []int{0}, LatestStart: now, Worthless: now},
-		{Key: UnitKey{Job: "b"}, Step: &workload.Step{Count: 1, Need: workload.Resources{Accelerators: 1}}, Indexes: []int{0}, LatestStart: now.Add(time.Second), Worthless: now.Add(time.Second)},
+		{Key: UnitKey{Job: "a"}, Step: &workload.Step{Count: 1, Need: workload.Resources{Accelerators: 1}}, Indexes: []int{0}, LatestStart: now, WorthlessAfter: now},
+		{Key: UnitKey{Job: "b"}, Step: &workload.Step{Count: 1, Need: workload.Resources{Accelerators: 1}}, Indexes: []int{0}, LatestStart: now.Add(time.Second), WorthlessAfter: now.Add(time.Second)},
 	}
 	change(s)
 	starts := map[string]int{}
-	for _, start := range Make(s).Starts {
+	for _, start := range MakePlan(s).Starts {
 		starts[start.Worker+string(s.Waiting[start.Unit].Key.Job)]++
 	}
 	return starts
@@ -40,18 +40,18 @@
 			s.Waiting[0].Suspect, s.Waiting[1].Suspect = true, true
 		}, []string{"w2a", "w3b"}},
 		"no other job joins a suspect": {func(s *Snapshot) {
-			s.Workers[0].Watched = "other"
+			s.Workers[0].SuspectJob = "other"
 		}, []string{"w2a", "w2b"}},
 		"its own job may join a suspect": {func(s *Snapshot) {
-			s.Workers[0].Watched = "a"
+			s.Workers[0].SuspectJob = "a"
 		}, []string{"w1a", "w2b"}},
 		"a worker with a recent start is the second choice": {func(s *Snapshot) {
 			s.Waiting[0].Suspect = true
-			s.Workers[1].Unsettled = true
+			s.Workers[1].HasRecentStart = true
 		}, []string{"w3a", "w1b"}},
 		"a suspect that has to run alone waits for an empty worker": {func(s *Snapshot) {
-			s.Waiting[0].Suspect, s.Waiting[0].Alone = true, true
-			s.Workers[1].Occupant, s.Workers[2].Shared = "other", true
+			s.Waiting[0].Suspect, s.Waiting[0].Exclusive = true, true
+			s.Workers[1].RunningJob, s.Workers[2].HasSeveralJobs = "other", true
 		}, []string{"w1b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/workload/decide/victims.go
+++ b/workload/decide/victims.go
@@ -58,7 +58,7 @@
 	kept := s.prune(n)
 	set := &victimSet{groups: kept, placements: p.findPlacements(u, workers, n, searchedCapacity)}
 	for _, g := range kept {
-		set.lost += p.snapshot.Running[g].Lost
+		set.lost += p.snapshot.Running[g].LostWork
 	}
 	return set
 }
@@ -74,7 +74,7 @@
 		}
 		c := &candidate{w: w}
 		for _, alloc := range p.groups.byWorker[w.index] {
-			if g := &p.snapshot.Running[alloc.group]; !g.Stopping && !g.Fixed && !p.stopped[alloc.group] && canStop(u, g) {
+			if g := &p.snapshot.Running[alloc.group]; !g.Stopping && !g.NonPreemptible && !p.stopped[alloc.group] && canStop(u, g) {
 				c.stoppable = append(c.stoppable, alloc)
 			}
 		}
@@ -171,7 +171,7 @@
 	capacity = searchedCapacity.on(c.w)
 	for _, alloc := range c.nextStops {
 		capacity = capacity.Add(alloc.Resources)
-		c.cost += s.p.snapshot.Running[alloc.group].Lost
+		c.cost += s.p.snapshot.Running[alloc.group].LostWork
 	}
 	c.gain = s.fitCount(c, capacity) - c.fits
 }
@@ -197,7 +197,7 @@
 // prune takes back the groups that are not needed, the most expensive first.
 func (s *victimSearch) prune(n int) []int {
 	running := s.p.snapshot.Running
-	sort.SliceStable(s.chosen, func(a, b int) bool { return running[s.chosen[a]].Lost > running[s.chosen[b]].Lost })
+	sort.SliceStable(s.chosen, func(a, b int) bool { return running[s.chosen[a]].LostWork > running[s.chosen[b]].LostWork })
 	var kept []int
 	for _, g := range s.chosen {
 		s.adjust(g, workload.Resources.Sub)
--- a/workload/foreign_test.go
+++ b/workload/foreign_test.go
@@ -58,7 +58,7 @@
 		if err := json.Unmarshal([]byte(value), p); err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Check(job); (err == nil) != valid {
+		if err := p.Validate(job); (err == nil) != valid {
 			t.Errorf("progress %s: %v", value, err)
 		}
 	}
@@ -73,15 +73,15 @@
 		}
 		p := NewProgress()
 		for range rapid.IntRange(0, job.Occurrences()).Draw(t, "created") {
-			p.Create(job)
+			p.AddOccurrence(job)
 		}
 		raw, err := json.Marshal(p)
 		if err != nil {
 			t.Fatal(err)
 		}
 		again := NewProgress()
-		if json.Unmarshal(raw, again) != nil || again.Check(job) != nil {
-			t.Fatalf("%s: %v", raw, again.Check(job))
+		if json.Unmarshal(raw, again) != nil || again.Validate(job) != nil {
+			t.Fatalf("%s: %v", raw, again.Validate(job))
 		}
 	})
 }
@@ -96,13 +96,13 @@
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		b := NewBook()
 		_ = b.Fold(1, key, value)
-		b.All(func(_ JobID, e Entry) {
+		b.ForEach(func(_ JobID, e Entry) {
 			if e.Job == nil || e.Job.Reduced {
 				return
 			}
 			p := NewProgress()
-			p.Create(e.Job)
-			if err := p.Check(e.Job); err != nil {
+			p.AddOccurrence(e.Job)
+			if err := p.Validate(e.Job); err != nil {
 				t.Fatal(err)
 			}
 		})
--- a/workload/job.go
+++ b/workload/job.go
@@ -56,13 +56,13 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMiB - o.MemoryMiB, r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether each component of r is at most that of o.
-func (r Resources) Fits(o Resources) bool {
+// FitsIn reports whether each component of r is at most that of o.
+func (r Resources) FitsIn(o Resources) bool {
 	return r.MilliCPU <= o.MilliCPU && r.MemoryMiB <= o.MemoryMiB && r.Accelerators <= o.Accelerators
 }
 
-// Short reports whether any component is negative.
-func (r Resources) Short() bool {
+// HasNegative reports whether any component is negative.
+func (r Resources) HasNegative() bool {
 	return r.MilliCPU < 0 || r.MemoryMiB < 0 || r.Accelerators < 0
 }
 
@@ -108,41 +108,41 @@
 	Speculative bool `json:"p,omitempty"`
 	// Perpetual tasks run until the job is cancelled.
 	Perpetual bool `json:"l,omitempty"`
-	// Whether the processor need is not counted against the worker's capacity.
-	Fills bool `json:"f,omitempty"`
+	// BestEffortCPU means that the processor need is not counted against the worker's capacity.
+	BestEffortCPU bool `json:"f,omitempty"`
 	// Label is a label that the worker must have.
 	Label string `json:"b,omitempty"`
 	// DataRack is the rack that holds the data.
 	DataRack string `json:"w,omitempty"`
-	// Largest number of tasks of one occurrence on a worker; 0 is unlimited.
-	Spread int `json:"q,omitempty"`
+	// PerWorker is the largest number of tasks of one occurrence on a worker; 0 is unlimited.
+	PerWorker int `json:"q,omitempty"`
 	// Image names the program; tasks of one image behave alike.
 	Image string `json:"i,omitempty"`
-	// Bound on the tail latency of a perpetual task.
-	TargetMS int64 `json:"t,omitempty"`
-	// Largest number of perpetual tasks that the planner may make unavailable at once by its own
-	// actions.
-	MayMiss int `json:"y,omitempty"`
+	// LatencyTargetMS bounds the tail latency of a perpetual task.
+	LatencyTargetMS int64 `json:"t,omitempty"`
+	// MaxUnavailable is the largest number of perpetual tasks that the planner may make unavailable
+	// at once by its own actions.
+	MaxUnavailable int `json:"y,omitempty"`
 }
 
-// Counted returns the resources that a task of the step takes from a worker's capacity.
-func (s Step) Counted() Resources {
+// CapacityNeed returns the resources that a task of the step takes from a worker's capacity.
+func (s Step) CapacityNeed() Resources {
 	need := s.Need
-	if s.Fills {
+	if s.BestEffortCPU {
 		need.MilliCPU = 0
 	}
 	return need
 }
 
-// Terms are the settings of a job's queue at the time when the job was accepted. They stay in
-// force even if the queue is removed from the configuration.
-type Terms struct {
+// QueueSettings are the settings of a job's queue at the time when the job was accepted. They stay
+// in force even if the queue is removed from the configuration.
+type QueueSettings struct {
 	// Service names the workers that run the queue's tasks.
 	Service string `json:"service"`
 	// Priority orders queues; 0 goes first and may preempt others.
 	Priority int `json:"priority"`
-	// Attempts is how often a task may fail before its job fails.
-	Attempts int `json:"attempts"`
+	// MaxAttempts is how often a task may fail before its job fails.
+	MaxAttempts int `json:"attempts"`
 	// Stretch and TargetMS define the objective: a job is to end within Stretch times its longest
 	// chain of work plus TargetMS.
 	Stretch  float64 `json:"stretch"`
@@ -154,10 +154,10 @@
 
 // Advice describes the cost of asking which workers may run a step.
 type Advice struct {
-	// DecideMS is the duration of a call and EachMS the additional time per worker named in it, in
-	// milliseconds.
-	DecideMS int64 `json:"decide"`
-	EachMS   int64 `json:"each"`
+	// DecideMS is the duration of a call and PerWorkerMS the additional time per worker named in it,
+	// in milliseconds.
+	DecideMS    int64 `json:"decide"`
+	PerWorkerMS int64 `json:"each"`
 	// ValidMS is how long a ticket may be used, in milliseconds.
 	ValidMS int64 `json:"valid"`
 }
@@ -167,11 +167,11 @@
 	ID      JobID            `json:"id"`
 	Account domain.AccountID `json:"account,omitempty"`
 	// Queue is the route by which the job was submitted.
-	Queue      string `json:"queue"`
-	Spec       string `json:"spec"`
-	Steps      []Step `json:"steps"`
-	AcceptedMS int64  `json:"at"`
-	Terms      Terms  `json:"terms"`
+	Queue         string        `json:"queue"`
+	Spec          string        `json:"spec"`
+	Steps         []Step        `json:"steps"`
+	AcceptedMS    int64         `json:"at"`
+	QueueSettings QueueSettings `json:"terms"`
 	// Reduced reports that the job has ended and that its spec and steps were dropped (see
 	// Reduce).
 	Reduced bool `json:"reduced,omitempty"`
@@ -185,8 +185,8 @@
 // Occurrences returns how many times the steps run.
 func (j *Job) Occurrences() int { return max(1, j.Repetitions) }
 
-// Tasks returns the number of tasks of one occurrence.
-func (j *Job) Tasks() int {
+// TaskCount returns the number of tasks of one occurrence.
+func (j *Job) TaskCount() int {
 	total := 0
 	for _, s := range j.Steps {
 		total += s.Count
@@ -222,8 +222,8 @@
 	return most
 }
 
-// Check returns a refusal that names the first invalid field, or nil.
-func (j *Job) Check() error {
+// Validate returns a refusal that names the first invalid field, or nil.
+func (j *Job) Validate() error {
 	if !j.ID.IsValid() {
 		return invalidField("id", "the id does not consist of 16 hexadecimal digits", "choose another id")
 	}
@@ -270,7 +270,7 @@
 	if s.Count < 1 || s.Count > MaxTasks {
 		return invalidField("count", fmt.Sprintf("step %d has %d tasks", index, s.Count), fmt.Sprintf("send 1 to %d", MaxTasks))
 	}
-	if s.Need.MilliCPU < 0 || s.Need.MemoryMiB < 0 || s.Need.Accelerators < 0 || s.EstimateMS < 0 || s.Spread < 0 || s.TargetMS < 0 || s.MayMiss < 0 {
+	if s.Need.MilliCPU < 0 || s.Need.MemoryMiB < 0 || s.Need.Accelerators < 0 || s.EstimateMS < 0 || s.PerWorker < 0 || s.LatencyTargetMS < 0 || s.MaxUnavailable < 0 {
 		return invalidField("steps", fmt.Sprintf("step %d has a negative amount", index), "send amounts of 0 or more")
 	}
 	for _, d := range s.DependsOn {
@@ -294,11 +294,11 @@
 		used["same-rack"] = used["same-rack"] || s.SameRack
 		used["data-rack"] = used["data-rack"] || s.DataRack != ""
 		used["label"] = used["label"] || s.Label != ""
-		used["spread"] = used["spread"] || s.Spread > 0
+		used["spread"] = used["spread"] || s.PerWorker > 0
 		used["checkpoint"] = used["checkpoint"] || s.Checkpoint
 		used["speculative"] = used["speculative"] || s.Speculative
 		used["perpetual"] = used["perpetual"] || s.Perpetual
-		used["fills"] = used["fills"] || s.Fills
+		used["fills"] = used["fills"] || s.BestEffortCPU
 	}
 	used["scheduled"] = j.Repetitions > 0
 	var out []string
--- a/workload/progress.go
+++ b/workload/progress.go
@@ -18,8 +18,8 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the state never changes again.
-func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
+// IsFinal reports whether the state never changes again.
+func (s State) IsFinal() bool { return s == Completed || s == Failed || s == Cancelled }
 
 // Phase is the phase of a task.
 type Phase int
@@ -42,7 +42,7 @@
 	// Worker is the worker on which that start was ordered.
 	Worker string `json:"w,omitempty"`
 	// Number of runs that ended in failure.
-	Fails int `json:"f,omitempty"`
+	Failures int `json:"f,omitempty"`
 	// FailedRun is the latest run of a gang that was counted as a failure; it is stored in the
 	// gang's first task.
 	FailedRun int64 `json:"x,omitempty"`
@@ -59,7 +59,7 @@
 	// abandoned as their cause.
 	Exonerated int `json:"n,omitempty"`
 	// The latest checkpoint.
-	Saved string `json:"s,omitempty"`
+	LastCheckpoint string `json:"s,omitempty"`
 }
 
 // Evidence returns the number of crashes that are evidence against the task.
@@ -75,17 +75,17 @@
 
 // Occurrence is the progress of one repetition that was created and has not ended.
 type Occurrence struct {
-	K     int      `json:"k,omitempty"`
-	Steps [][]Task `json:"s"`
+	Number int      `json:"k,omitempty"`
+	Steps  [][]Task `json:"s"`
 }
 
 // Progress is everything that the planner has decided and observed of a job.
 type Progress struct {
 	State State `json:"state"`
 	// Whether any task was ever started.
-	Begun bool `json:"begun,omitempty"`
+	Started bool `json:"begun,omitempty"`
 	// The first occurrence that has not been created.
-	Next int `json:"next,omitempty"`
+	NextOccurrence int `json:"next,omitempty"`
 	// EndedMS is when the job ended; 0 before.
 	EndedMS int64 `json:"ended,omitempty"`
 	// Open are the occurrences that were created and have not ended.
@@ -95,11 +95,11 @@
 // NewProgress returns the progress of a newly accepted job.
 func NewProgress() *Progress { return &Progress{State: Queued} }
 
-// Check refuses progress that does not match the job: a different number of steps or tasks, or
+// Validate refuses progress that does not match the job: a different number of steps or tasks, or
 // occurrences that the job does not have.
-func (p *Progress) Check(j *Job) error {
-	if p.Next < 0 || p.Next > j.Occurrences() {
-		return fmt.Errorf("the job has %d occurrences, its progress created %d", j.Occurrences(), p.Next)
+func (p *Progress) Validate(j *Job) error {
+	if p.NextOccurrence < 0 || p.NextOccurrence > j.Occurrences() {
+		return fmt.Errorf("the job has %d occurrences, its progress created %d", j.Occurrences(), p.NextOccurrence)
 	}
 	for _, o := range p.Open {
 		if err := o.validate(j); err != nil {
@@ -110,7 +110,7 @@
 }
 
 func (o *Occurrence) validate(j *Job) error {
-	if o == nil || o.K < 0 || o.K >= j.Occurrences() || len(o.Steps) != len(j.Steps) {
+	if o == nil || o.Number < 0 || o.Number >= j.Occurrences() || len(o.Steps) != len(j.Steps) {
 		return fmt.Errorf("an open occurrence does not match the job's %d occurrences of %d steps", j.Occurrences(), len(j.Steps))
 	}
 	for i, tasks := range o.Steps {
@@ -118,21 +118,21 @@
 			return fmt.Errorf("step %d has %d tasks, its progress has %d", i, j.Steps[i].Count, len(tasks))
 		}
 		for _, t := range tasks {
-			if t.Phase < Waiting || t.Phase > Done || t.Run < 0 || t.Fails < 0 || t.Crashes < 0 || t.CrashMS < 0 || t.Excluded < 0 || t.Excluded > t.Crashes || t.Exonerated < 0 {
-				return fmt.Errorf("step %d has a task with invalid progress: phase %d, run %d, %d failures, %d crashes", i, t.Phase, t.Run, t.Fails, t.Crashes)
+			if t.Phase < Waiting || t.Phase > Done || t.Run < 0 || t.Failures < 0 || t.Crashes < 0 || t.CrashMS < 0 || t.Excluded < 0 || t.Excluded > t.Crashes || t.Exonerated < 0 {
+				return fmt.Errorf("step %d has a task with invalid progress: phase %d, run %d, %d failures, %d crashes", i, t.Phase, t.Run, t.Failures, t.Crashes)
 			}
 		}
 	}
 	return nil
 }
 
-// Create opens the next occurrence.
-func (p *Progress) Create(j *Job) *Occurrence {
-	o := &Occurrence{K: p.Next, Steps: make([][]Task, len(j.Steps))}
+// AddOccurrence opens the next occurrence.
+func (p *Progress) AddOccurrence(j *Job) *Occurrence {
+	o := &Occurrence{Number: p.NextOccurrence, Steps: make([][]Task, len(j.Steps))}
 	for i, s := range j.Steps {
 		o.Steps[i] = make([]Task, s.Count)
 	}
-	p.Next++
+	p.NextOccurrence++
 	p.Open = append(p.Open, o)
 	return o
 }
@@ -147,8 +147,8 @@
 	return true
 }
 
-// Done reports whether all steps have ended successfully.
-func (o *Occurrence) Done() bool {
+// IsDone reports whether all steps have ended successfully.
+func (o *Occurrence) IsDone() bool {
 	for i := range o.Steps {
 		if !o.IsStepDone(i) {
 			return false
@@ -157,8 +157,8 @@
 	return true
 }
 
-// Ready reports whether all dependencies of a step are done.
-func (o *Occurrence) Ready(j *Job, step int) bool {
+// IsStepReady reports whether all dependencies of a step are done.
+func (o *Occurrence) IsStepReady(j *Job, step int) bool {
 	for _, d := range j.Steps[step].DependsOn {
 		if !o.IsStepDone(d) {
 			return false
@@ -169,20 +169,20 @@
 
 // TaskID identifies one task of one occurrence of a job.
 type TaskID struct {
-	Job   JobID
-	K     int
-	Step  int
-	Index int
+	Job        JobID
+	Occurrence int
+	Step       int
+	Index      int
 }
 
 // String formats the id as ID.K.STEP.INDEX.
 func (t TaskID) String() string {
-	return string(t.Job) + "." + strconv.Itoa(t.K) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
+	return string(t.Job) + "." + strconv.Itoa(t.Occurrence) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
 
-// StepName formats the id of the task's step as ID.K.STEP.
-func (t TaskID) StepName() string {
-	return string(t.Job) + "." + strconv.Itoa(t.K) + "." + strconv.Itoa(t.Step)
+// StepID formats the id of the task's step as ID.K.STEP.
+func (t TaskID) StepID() string {
+	return string(t.Job) + "." + strconv.Itoa(t.Occurrence) + "." + strconv.Itoa(t.Step)
 }
 
 // ParseTaskID parses the result of String.
@@ -202,10 +202,10 @@
 	return TaskID{JobID(parts[0]), numbers[0], numbers[1], numbers[2]}, nil
 }
 
-// Find returns the task's progress, or nil if the job has no such open task.
-func (p *Progress) Find(id TaskID) *Task {
+// FindTask returns the task's progress, or nil if the job has no such open task.
+func (p *Progress) FindTask(id TaskID) *Task {
 	for _, o := range p.Open {
-		if o.K != id.K {
+		if o.Number != id.Occurrence {
 			continue
 		}
 		if id.Step >= len(o.Steps) || id.Index >= len(o.Steps[id.Step]) {
--- a/workload/replay/arrivals.go
+++ b/workload/replay/arrivals.go
@@ -102,7 +102,7 @@
 
 func (p *Pattern) generateJob(c *Class, at time.Duration, rng *rand.Rand) *scheduledJob {
 	a := &scheduledJob{at: at, class: c, neverSucceeds: rng.Float64() < c.NeverSucceeds}
-	a.job = &workload.Job{Account: p.drawAccount(at, rng), Queue: c.Name, Terms: c.terms()}
+	a.job = &workload.Job{Account: p.drawAccount(at, rng), Queue: c.Name, QueueSettings: c.terms()}
 	for step := range max(1, int(math.Round(c.Steps.sample(rng)))) {
 		s := workload.Step{
 			Count: max(1, int(math.Round(c.Width.sample(rng)))),
@@ -172,7 +172,7 @@
 		}
 	}
 	a := &scheduledJob{at: ms(r.AtMS), class: c}
-	a.job = &workload.Job{Account: domain.AccountID(r.Account), Queue: c.Name, Terms: c.terms(), Steps: r.Steps}
+	a.job = &workload.Job{Account: domain.AccountID(r.Account), Queue: c.Name, QueueSettings: c.terms(), Steps: r.Steps}
 	for i := range r.Steps {
 		p.shrinkGang(&a.job.Steps[i])
 		a.addStep(a.job.Steps[i], float64(max(r.Steps[i].EstimateMS, 50)), c, rng)
@@ -180,8 +180,8 @@
 	return a
 }
 
-func (c *Class) terms() workload.Terms {
-	return workload.Terms{Service: poolService, Priority: c.Priority, Attempts: c.Attempts, Stretch: c.Stretch, TargetMS: c.TargetMS}
+func (c *Class) terms() workload.QueueSettings {
+	return workload.QueueSettings{Service: poolService, Priority: c.Priority, MaxAttempts: c.Attempts, Stretch: c.Stretch, TargetMS: c.TargetMS}
 }
 
 // objective returns the time in which the job should complete: the duration of its critical path
--- a/workload/replay/baseline.go
+++ b/workload/replay/baseline.go
@@ -31,7 +31,7 @@
 	blocked := false
 	for _, i := range byArrival(s) {
 		u := &s.Waiting[i]
-		if blocked && u.Run > shadowTime {
+		if blocked && u.RunTime > shadowTime {
 			continue
 		}
 		if !b.start(i) && !blocked {
@@ -93,11 +93,11 @@
 // selectWorkers returns workers for the unit's tasks, preferring those with the fewest free
 // accelerators.
 func (b *baseline) selectWorkers(u *decide.Unit, rack string) []string {
-	need := u.Step.Counted()
+	need := u.Step.CapacityNeed()
 	var fits []*decide.Worker
 	for i := range b.s.Workers {
 		w := &b.s.Workers[i]
-		if free, open := b.free[w.ID]; open && need.Fits(free) && (rack == "" || w.Rack == rack) && !u.Avoid[w.ID] {
+		if free, open := b.free[w.ID]; open && need.FitsIn(free) && (rack == "" || w.Rack == rack) && !u.Avoid[w.ID] {
 			fits = append(fits, w)
 		}
 	}
@@ -115,7 +115,7 @@
 
 func (b *baseline) assign(i int, u *decide.Unit, workers []string) {
 	for n, id := range workers {
-		b.free[id] = b.free[id].Sub(u.Step.Counted())
+		b.free[id] = b.free[id].Sub(u.Step.CapacityNeed())
 		b.plan.Starts = append(b.plan.Starts, decide.Assignment{Unit: i, Index: u.Indexes[n], Worker: id})
 	}
 }
@@ -127,13 +127,13 @@
 		need -= free.Accelerators
 	}
 	running := slices.Clone(b.s.Running)
-	slices.SortStableFunc(running, func(x, y decide.Group) int { return int(x.Left - y.Left) })
+	slices.SortStableFunc(running, func(x, y decide.Group) int { return int(x.RemainingTime - y.RemainingTime) })
 	for _, g := range running {
-		for _, held := range g.Held {
+		for _, held := range g.Allocations {
 			need -= held.Accelerators
 		}
 		if need <= 0 {
-			return g.Left
+			return g.RemainingTime
 		}
 	}
 	return time.Hour
--- a/workload/replay/collector.go
+++ b/workload/replay/collector.go
@@ -133,19 +133,19 @@
 // setState records the state of a job that callers see from now on.
 func (m *collector) setState(t *trackedJob, state workload.State) {
 	t.state = state
-	if state.Final() {
+	if state.IsFinal() {
 		m.finish(t)
 	}
 }
 
 // recordStopReasons records why runs were ordered to stop.
-func (m *collector) recordStopReasons(notes []control.Note) {
+func (m *collector) recordStopReasons(notes []control.Event) {
 	for _, n := range notes {
-		if n.Event != control.EventRunStopping {
+		if n.Name != control.EventRunStopping {
 			continue
 		}
 		if id, err := workload.ParseTaskID(n.Task); err == nil {
-			m.stopReasons[runKey{id, n.Run}] = n.Why
+			m.stopReasons[runKey{id, n.Run}] = n.Reason
 		}
 	}
 }
@@ -154,7 +154,7 @@
 func (m *collector) observe(e workertest.Event) {
 	name := runKey{e.Task, e.Run}
 	t := m.sim.jobs[e.Task.Job]
-	if e.How == "" {
+	if e.End == "" {
 		m.startTimes[name] = m.sim.elapsed
 		m.series.countStart()
 		if e.Task.Step == 0 && !t.startedTasks[e.Task] {
@@ -169,14 +169,14 @@
 	startedAt := m.startTimes[name]
 	delete(m.startTimes, name)
 	step := t.job.Steps[e.Task.Step]
-	switch e.How {
+	switch e.End {
 	case control.EndDone, workertest.EndVoid:
 		return
 	case control.EndFailed:
 		m.countFailure(t, e, step)
 		return
 	}
-	reason := string(e.How)
+	reason := string(e.End)
 	if stopReason, ok := m.stopReasons[name]; ok {
 		reason = stopReason
 	}
@@ -235,7 +235,7 @@
 		if w.lost {
 			continue
 		}
-		inUse := m.sim.fleet.Workers[id].Held().Accelerators
+		inUse := m.sim.fleet.Workers[id].Allocated().Accelerators
 		racks[w.rack] += m.sim.pattern.Workers.Accelerators - inUse
 		used += float64(inUse)
 	}
--- a/workload/replay/network.go
+++ b/workload/replay/network.go
@@ -8,14 +8,14 @@
 
 // sendOrders sends the planner's stops, the starts that are due and the lease renewals.
 func (sim *simulation) sendOrders() {
-	for _, o := range sim.core.Stops() {
+	for _, o := range sim.core.StopOrders() {
 		sim.sendStop(sim.core, o)
 	}
-	for _, o := range sim.core.Due(sim.now()) {
+	for _, o := range sim.core.RetryOrders(sim.now()) {
 		sim.sendStart(sim.core, o)
 	}
-	for _, id := range sim.core.NeedsHold(sim.now()) {
-		if o, ok := sim.core.Hold(id, sim.now()); ok {
+	for _, id := range sim.core.WorkersToRenew(sim.now()) {
+		if o, ok := sim.core.NextRenewal(id, sim.now()); ok {
 			sim.sendRenewal(sim.core, o)
 		}
 	}
@@ -54,19 +54,19 @@
 	sim.metrics.starts++
 	sim.send(core, o.Worker, func() func() {
 		a := sim.fleet.Workers[o.Worker].Start(o, sim.now())
-		return func() { core.Started(o, a, sim.now()) }
-	}, func() { core.Started(o, control.Answer{Verdict: control.Unanswered}, sim.now()) })
+		return func() { core.HandleStartAnswer(o, a, sim.now()) }
+	}, func() { core.HandleStartAnswer(o, control.Answer{Result: control.Unanswered}, sim.now()) })
 }
 
 func (sim *simulation) sendStop(core *control.Core, o control.StopOrder) {
 	sim.send(core, o.Worker, func() func() {
 		a := sim.fleet.Workers[o.Worker].Stop(o, sim.now())
-		return func() { core.Stopped(o, a, sim.now()) }
-	}, func() { core.Stopped(o, control.Answer{Verdict: control.Unanswered}, sim.now()) })
+		return func() { core.HandleStopAnswer(o, a, sim.now()) }
+	}, func() { core.HandleStopAnswer(o, control.Answer{Result: control.Unanswered}, sim.now()) })
 }
 
 // sendRenewal sends a lease renewal, which waits on its worker until a run ends there.
-func (sim *simulation) sendRenewal(core *control.Core, o control.HoldOrder) {
+func (sim *simulation) sendRenewal(core *control.Core, o control.RenewalOrder) {
 	sim.after(ms(sim.pattern.Bounds.OrderMS), func() {
 		sim.renewals = append(sim.renewals, &pendingRenewal{core, o, sim.elapsed})
 	})
@@ -91,25 +91,25 @@
 			return false
 		}
 		sim.deliver(renewal.core, func() {
-			renewal.core.Held(renewal.order, control.HoldAnswer{Verdict: control.Unanswered}, sent, sim.now())
+			renewal.core.HandleRenewal(renewal.order, control.RenewalAnswer{Result: control.Unanswered}, sent, sim.now())
 		})
 		return true
 	}
 	target := sim.fleet.Workers[renewal.order.Worker]
 	newEnds := false
 	for _, e := range target.Ended() {
-		newEnds = newEnds || e.Number > renewal.order.Cursor
+		newEnds = newEnds || e.Number > renewal.order.AcknowledgedEnd
 	}
 	if !newEnds && sim.elapsed-renewal.sent < renewal.order.Wait {
 		// The lease is extended when the order arrives, not when it is answered.
-		target.Keep(renewal.order, sim.now())
+		target.ExtendLease(renewal.order, sim.now())
 		return false
 	}
-	a := target.Hold(renewal.order, sim.now())
+	a := target.Renew(renewal.order, sim.now())
 	sim.after(ms(sim.pattern.Bounds.OrderMS), func() {
 		sim.deliver(renewal.core, func() {
-			renewal.core.Held(renewal.order, a, sent, sim.now())
-			if next, ok := renewal.core.Hold(renewal.order.Worker, sim.now()); ok {
+			renewal.core.HandleRenewal(renewal.order, a, sent, sim.now())
+			if next, ok := renewal.core.NextRenewal(renewal.order.Worker, sim.now()); ok {
 				sim.sendRenewal(renewal.core, next)
 			}
 		})
--- a/workload/replay/plot.go
+++ b/workload/replay/plot.go
@@ -17,9 +17,9 @@
 	plotHeight = 3 * vg.Inch
 )
 
-// Plots writes SVG plots of the queue, the free accelerators and the starts over time into a
+// WritePlots writes SVG plots of the queue, the free accelerators and the starts over time into a
 // folder, for both policies on the first seed.
-func (e *Experiment) Plots(dir string) error {
+func (e *Experiment) WritePlots(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/workload/replay/policy.go
+++ b/workload/replay/policy.go
@@ -12,15 +12,15 @@
 type Policy struct {
 	Name string
 	// Disabled are the mechanisms that are switched off.
-	Disabled decide.Without
+	Disabled decide.DisabledMechanisms
 	// Plan replaces the shipped decision function if it is not nil.
 	Plan func(*decide.Snapshot) decide.Plan
 }
 
 // Names of policies. Any other name must list mechanisms to disable.
 const (
-	// Shipping is the policy as shipped.
-	Shipping = "shipping"
+	// Default is the policy as shipped.
+	Default = "shipping"
 	// Before is the shipped policy without the most recently added mechanisms.
 	Before = "before"
 	// Easy is EASY backfilling: a reservation for the first unit in line, best fit.
@@ -33,7 +33,7 @@
 // mechanisms: "without=clear-racks,distrust".
 func ParsePolicy(name string) (Policy, error) {
 	switch name {
-	case Shipping:
+	case Default:
 		return Policy{Name: name}, nil
 	case Before:
 		return Policy{Name: name, Disabled: withoutLatest()}, nil
@@ -44,15 +44,15 @@
 	}
 	list, ok := strings.CutPrefix(name, "without=")
 	if !ok {
-		return Policy{}, fmt.Errorf("unknown policy %q: use %s, %s, %s, %s, or without=MECHANISM with a comma-separated list", name, Shipping, Before, Easy, FIFO)
+		return Policy{}, fmt.Errorf("unknown policy %q: use %s, %s, %s, %s, or without=MECHANISM with a comma-separated list", name, Default, Before, Easy, FIFO)
 	}
-	without, err := decide.ParseWithout(list)
+	without, err := decide.ParseDisabled(list)
 	return Policy{Name: name, Disabled: without}, err
 }
 
-func withoutLatest() decide.Without {
-	out := decide.Without{}
-	for _, m := range decide.Latest {
+func withoutLatest() decide.DisabledMechanisms {
+	out := decide.DisabledMechanisms{}
+	for _, m := range decide.RecentMechanisms {
 		out[m] = true
 	}
 	return out
@@ -64,6 +64,6 @@
 	for i := range out {
 		out[i] = i
 	}
-	slices.SortStableFunc(out, func(a, b int) int { return s.Waiting[a].Since.Compare(s.Waiting[b].Since) })
+	slices.SortStableFunc(out, func(a, b int) int { return s.Waiting[a].ReadySince.Compare(s.Waiting[b].ReadySince) })
 	return out
 }
--- a/workload/replay/random_pattern.go
+++ b/workload/replay/random_pattern.go
@@ -19,7 +19,7 @@
 		},
 		Bounds: Bounds{
 			LeaseMS: 4000 + 1000*rng.Int64N(7), StopMS: 100 + 100*rng.Int64N(10), GangMS: 3000, ReclaimMS: 3400, CheckpointMS: 500,
-			RestoreMS: 100 + 100*rng.Int64N(6), WriteMS: 5 + rng.Int64N(20), OrderMS: 1 + rng.Int64N(5), FarFactor: between(1.5, 4),
+			RestoreMS: 100 + 100*rng.Int64N(6), WriteMS: 5 + rng.Int64N(20), OrderMS: 1 + rng.Int64N(5), RemoteFactor: between(1.5, 4),
 		},
 	}
 	accelerators := float64(int64(p.Workers.Count) * p.Workers.Accelerators)
--- a/workload/replay/recorded.go
+++ b/workload/replay/recorded.go
@@ -11,10 +11,10 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// Record makes a pattern of the accepted jobs in logs. The estimates of the callers are taken as
-// run times. Queues are mapped to the classes of the "steady" pattern in order of first
+// PatternFromLogs makes a pattern of the accepted jobs in logs. The estimates of the callers are
+// taken as run times. Queues are mapped to the classes of the "steady" pattern in order of first
 // appearance.
-func Record(lines []events.Line) (*Pattern, error) {
+func PatternFromLogs(lines []events.Line) (*Pattern, error) {
 	p, err := Load("steady")
 	if err != nil {
 		return nil, err
--- a/workload/replay/replay_test.go
+++ b/workload/replay/replay_test.go
@@ -85,7 +85,7 @@
 
 // disabling returns the shipped policy without some mechanisms; "" disables none.
 func disabling(mechanisms ...decide.Mechanism) Policy {
-	out := Policy{Disabled: decide.Without{}}
+	out := Policy{Disabled: decide.DisabledMechanisms{}}
 	for _, m := range mechanisms {
 		out.Disabled[m] = true
 	}
@@ -105,10 +105,10 @@
 		minFactor    float64
 		alsoDisabled decide.Mechanism
 	}{
-		{decide.KeepIdle, "burst-wide", urgentInTime, 1.02, ""},
-		{decide.WatchCentres, "centre-cut", urgentInTime, 1.01, ""},
-		{decide.ClearRacks, "burst-urgent", urgentInTime, 1.03, decide.WorkerSpeeds},
-		{decide.WaitNear, "large-gangs", urgentInTime, 1.04, ""},
+		{decide.KeepReservedIdle, "burst-wide", urgentInTime, 1.02, ""},
+		{decide.CloseSilentCentres, "centre-cut", urgentInTime, 1.01, ""},
+		{decide.ReserveRacks, "burst-urgent", urgentInTime, 1.03, decide.WorkerSpeeds},
+		{decide.WaitForLocality, "large-gangs", urgentInTime, 1.04, ""},
 		{decide.WorkerSpeeds, "two-speeds", urgentInTime, 1.08, ""},
 	} {
 		t.Run(string(c.mechanism), func(t *testing.T) {
@@ -176,7 +176,7 @@
 			"job": id, "queue": queue, "account": "a", "shape": `[{"n":2,"r":{"c":1000,"a":1},"e":500,"g":true}]`,
 		}}
 	}
-	p, err := Record([]events.Line{line(0, "x", "q"), line(time.Second, "y", "r"), line(time.Second, "y", "r"), {Event: events.Started}})
+	p, err := PatternFromLogs([]events.Line{line(0, "x", "q"), line(time.Second, "y", "r"), line(time.Second, "y", "r"), {Event: events.Started}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 	if done := r.Classes[0].InTime + r.Classes[1].InTime; done != 2 {
 		t.Fatalf("%d of 2 jobs in time", done)
 	}
-	if _, err := Record(nil); err == nil {
+	if _, err := PatternFromLogs(nil); err == nil {
 		t.Fatal("Record accepted logs without jobs")
 	}
 }
--- a/workload/replay/simulation.go
+++ b/workload/replay/simulation.go
@@ -85,7 +85,7 @@
 // pendingRenewal is a lease renewal that waits on its worker for a run to end.
 type pendingRenewal struct {
 	core  *control.Core
-	order control.HoldOrder
+	order control.RenewalOrder
 	sent  time.Duration
 }
 
@@ -101,10 +101,10 @@
 	sim.metrics = newCollector(sim)
 	sim.fleet = &workertest.Fleet{
 		Limits: workertest.Limits{
-			HoldMax: ms(p.Bounds.LeaseMS), StopTimeout: ms(p.Bounds.StopMS), GangTimeout: ms(p.Bounds.GangMS),
+			MaxLease: ms(p.Bounds.LeaseMS), StopTimeout: ms(p.Bounds.StopMS), GangTimeout: ms(p.Bounds.GangMS),
 			CheckpointEvery: ms(p.Bounds.CheckpointMS), Restore: ms(p.Bounds.RestoreMS),
 		},
-		Step: sim.step, Work: sim.work, Speed: sim.speed, Seen: sim.metrics.observe,
+		Step: sim.step, Work: sim.work, Speed: sim.speed, OnEvent: sim.metrics.observe,
 	}
 	for i := range p.Workers.Count {
 		sim.addWorker(i)
@@ -146,11 +146,11 @@
 	sim.token++
 	b := sim.pattern.Bounds
 	sim.core = control.New(control.Bounds{
-		Lease: ms(b.LeaseMS), Authority: ms(b.LeaseMS), StopTimeout: ms(b.StopMS), GangTimeout: ms(b.GangMS),
-		ReclaimWithin: ms(b.ReclaimMS), FarFactor: b.FarFactor, Restore: ms(b.RestoreMS), Wait: renewalWait,
-		Without: sim.policy.Disabled, Plan: sim.policy.Plan,
+		Lease: ms(b.LeaseMS), AuthorityPeriod: ms(b.LeaseMS), StopTimeout: ms(b.StopMS), GangTimeout: ms(b.GangMS),
+		ReclaimWithin: ms(b.ReclaimMS), RemoteFactor: b.RemoteFactor, RestoreCost: ms(b.RestoreMS), PollWait: renewalWait,
+		Disabled: sim.policy.Disabled, Plan: sim.policy.Plan,
 	}, sim.token, sim.now())
-	config := control.Configuration{Version: 1, Queues: map[string]workload.Terms{}, Guaranteed: map[domain.AccountID]int64{}}
+	config := control.Configuration{Version: 1, Queues: map[string]workload.QueueSettings{}, Guaranteed: map[domain.AccountID]int64{}}
 	for i := range sim.pattern.Classes {
 		config.Queues[sim.pattern.Classes[i].Name] = sim.pattern.Classes[i].terms()
 	}
@@ -180,7 +180,7 @@
 		}
 		out = append(out, l)
 	}
-	sim.core.List(out, sim.now())
+	sim.core.SetWorkers(out, sim.now())
 	sim.lastListed = sim.elapsed
 }
 
@@ -225,7 +225,7 @@
 
 func (sim *simulation) cancel(id workload.JobID) {
 	e, ok := sim.log[id]
-	if !ok || e.Cancelled || e.State.Final() {
+	if !ok || e.Cancelled || e.State.IsFinal() {
 		return
 	}
 	sim.metrics.cancel(sim.jobs[id])
@@ -276,7 +276,7 @@
 	sim.changedJobs = nil
 	sim.core.Round(sim.now(), sim.now().UnixMilli())
 	records := sim.core.Changes()
-	sim.metrics.recordStopReasons(sim.core.Notes())
+	sim.metrics.recordStopReasons(sim.core.Events())
 	if len(records) == 0 {
 		sim.sendStarts(sim.core)
 		return
@@ -343,7 +343,7 @@
 }
 
 func gangRunOf(t workload.TaskID, run int64) gangRun {
-	return gangRun{decide.UnitKey{Job: t.Job, K: t.K, Step: t.Step}, run}
+	return gangRun{decide.UnitKey{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step}, run}
 }
 
 // step implements workertest.Fleet.Step.
@@ -364,13 +364,13 @@
 	step := t.job.Steps[id.Step]
 	runTime := t.runTimes[id.Step][id.Index]
 	if (step.Gang && sim.farGangs[gangRunOf(id, run)]) || (!step.Gang && step.DataRack != "" && step.DataRack != w.rack) {
-		runTime = time.Duration(sim.pattern.Bounds.FarFactor * float64(runTime))
+		runTime = time.Duration(sim.pattern.Bounds.RemoteFactor * float64(runTime))
 	}
 	failureIndex := id.Index
 	if step.Gang {
 		failureIndex = 0
 	}
-	out := workertest.Work{Takes: runTime, Hang: sim.elapsed < w.hangUntil}
+	out := workertest.Work{Takes: runTime, Hangs: sim.elapsed < w.hangUntil}
 	out.Fails = t.neverSucceeds || t.failed[taskIndex{id.Step, failureIndex}] < t.failures[id.Step][failureIndex]
 	if sim.elapsed < w.greyUntil {
 		out.Takes, out.Fails = greyRunTime, true
--- a/workload/service/acceptances.go
+++ b/workload/service/acceptances.go
@@ -30,7 +30,7 @@
 }
 
 func newAcceptances(homeTopics int, log Log, follow func(Topic) *follower) *acceptances {
-	a := &acceptances{homeTopics: min(max(1, homeTopics), MostAcceptTopics)}
+	a := &acceptances{homeTopics: min(max(1, homeTopics), MaxAcceptTopics)}
 	n := max(2, a.homeTopics)
 	for i := range n {
 		a.topics = append(a.topics, follow(AcceptTopic(i)))
@@ -121,7 +121,7 @@
 func (a *acceptances) groupByTopic(records []control.Record) map[Topic][]control.Record {
 	out := map[Topic][]control.Record{}
 	for _, r := range records {
-		for i, f := range a.topicsOf(workload.IDOfKey(r.Key)) {
+		for i, f := range a.topicsOf(workload.JobIDOfKey(r.Key)) {
 			if i == 0 || f.offset() > 0 {
 				out[f.topic] = append(out[f.topic], r)
 			}
--- a/workload/service/adaptive_timeout.go
+++ b/workload/service/adaptive_timeout.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// AnswerTimes derives a timeout from the mean response time, so that an order whose answer was
+// AdaptiveTimeout derives a timeout from the mean response time, so that an order whose answer was
 // lost is repeated soon and one that is only slow is not.
-type AnswerTimes struct {
-	// Most is the maximum timeout; 0 selects the default, which is meant for workers.
-	Most time.Duration
+type AdaptiveTimeout struct {
+	// Max is the maximum timeout; 0 selects the default, which is meant for workers.
+	Max time.Duration
 
 	mu   sync.Mutex
 	mean time.Duration
@@ -25,17 +25,17 @@
 )
 
 // Observe records the duration of one call. A call without an answer counts with its timeout.
-func (a *AnswerTimes) Observe(took time.Duration) {
+func (a *AdaptiveTimeout) Observe(took time.Duration) {
 	a.mu.Lock()
 	a.mean += time.Duration(meanWeight * float64(took-a.mean))
 	a.mu.Unlock()
 }
 
-// Patience returns the time to wait for an answer.
-func (a *AnswerTimes) Patience() time.Duration {
+// Timeout returns the time to wait for an answer.
+func (a *AdaptiveTimeout) Timeout() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	limit := a.Most
+	limit := a.Max
 	if limit == 0 {
 		limit = defaultMaxTimeout
 	}
--- a/workload/service/committer.go
+++ b/workload/service/committer.go
@@ -19,7 +19,7 @@
 	queue       chan *pendingRecord
 	// timeout tracks how long appends take, so that the other topic is tried in time when home
 	// is down.
-	timeout AnswerTimes
+	timeout AdaptiveTimeout
 	// otherFirst is set when the other topic accepted the last append; it is then tried first.
 	otherFirst atomic.Bool
 	// inFlight limits the number of concurrent appends. More than one is allowed so that a slow
@@ -42,11 +42,11 @@
 )
 
 func newCommitter(log Log, home, other Topic) *committer {
-	return &committer{log: log, home: home, other: other, timeout: AnswerTimes{Most: commitAttemptTimeout}, queue: make(chan *pendingRecord, 1024), inFlight: make(chan struct{}, maxAppendsInFlight)}
+	return &committer{log: log, home: home, other: other, timeout: AdaptiveTimeout{Max: commitAttemptTimeout}, queue: make(chan *pendingRecord, 1024), inFlight: make(chan struct{}, maxAppendsInFlight)}
 }
 
 // add writes a record. It returns nil once the record is in the log, ErrNotDone if the record
-// was certainly not written and never will be, and ErrUnknown otherwise.
+// was certainly not written and never will be, and ErrOutcomeUnknown otherwise.
 func (c *committer) add(ctx context.Context, record control.Record) error {
 	pending := &pendingRecord{record: record, ctx: ctx, done: make(chan error, 1)}
 	select {
@@ -58,7 +58,7 @@
 	case err := <-pending.done:
 		return err
 	case <-ctx.Done():
-		return errors.Mark(ctx.Err(), ErrUnknown)
+		return errors.Mark(ctx.Err(), ErrOutcomeUnknown)
 	}
 }
 
@@ -112,7 +112,7 @@
 			return
 		}
 		if ctx.Err() != nil || allAbandoned(batch) {
-			finishAll(batch, errors.Mark(errors.Newf("the append was abandoned: %v", err), ErrUnknown))
+			finishAll(batch, errors.Mark(errors.Newf("the append was abandoned: %v", err), ErrOutcomeUnknown))
 			return
 		}
 		sleep(ctx, commitRetryPause*time.Duration(min(try, 5)))
@@ -128,7 +128,7 @@
 	otherFirst := c.otherFirst.Load()
 	results := make(chan appendResult, 2)
 	go c.append(ctx, otherFirst, records, results)
-	slow := time.NewTimer(c.timeout.Patience())
+	slow := time.NewTimer(c.timeout.Timeout())
 	defer slow.Stop()
 	unreachable := make(chan bool, 1)
 	var failed error
--- a/workload/service/declarations.go
+++ b/workload/service/declarations.go
@@ -71,5 +71,5 @@
 	if s.planning.Load() {
 		return plannerWait
 	}
-	return max(readerWait, s.settings.Stale/2)
+	return max(readerWait, s.settings.StaleAfter/2)
 }
--- a/workload/service/directory.go
+++ b/workload/service/directory.go
@@ -15,7 +15,7 @@
 	Prefix string
 	// Anonymous queues need no API key.
 	Anonymous bool
-	Terms     workload.Terms
+	Terms     workload.QueueSettings
 }
 
 // Directory is one version of the configuration.
@@ -57,7 +57,7 @@
 
 // Configuration returns the parts of the directory that a planner needs.
 func (d *Directory) Configuration() control.Configuration {
-	out := control.Configuration{Version: d.Version, Queues: map[string]workload.Terms{}, Guaranteed: d.Guaranteed}
+	out := control.Configuration{Version: d.Version, Queues: map[string]workload.QueueSettings{}, Guaranteed: d.Guaranteed}
 	for _, q := range d.Queues {
 		out.Queues[q.Name] = q.Terms
 	}
--- a/workload/service/dropped_keys_test.go
+++ b/workload/service/dropped_keys_test.go
@@ -37,12 +37,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := newSharedLog(poolReadRate)
 		s := New(poolSettings("edge-0", 1, "0"), log, poolDecoder{}, nil, nil, nil)
-		state := control.Record{Key: workload.StatedKey("a"), Value: []byte(`{"q":"q","s":"running","b":true}`)}
+		state := control.Record{Key: workload.StatusKey("a"), Value: []byte(`{"q":"q","s":"running","b":true}`)}
 		if _, err := log.Append(context.Background(), States, []control.Record{state}, nil); err != nil {
 			t.Fatal(err)
 		}
 		readAcrossCompaction(t, log, s.states, States, state.Key)
-		if !s.book.Complete() {
+		if !s.book.IsComplete() {
 			t.Error("the book waits for the progress of a job that the log no longer has")
 		}
 	})
@@ -72,8 +72,8 @@
 			t.Logf("the book still has the job: accepted %t, progress %s", e.Job != nil, e.Progress)
 		}
 		core := control.New(s.settings.Bounds, 1, time.Now())
-		s.book.All(core.Adopt)
-		if n := core.Jobs(); n > 0 && s.book.Complete() {
+		s.book.ForEach(core.Adopt)
+		if n := core.Jobs(); n > 0 && s.book.IsComplete() {
 			t.Errorf("%d jobs were adopted although they had ended and were dropped", n)
 		}
 	})
--- a/workload/service/election.go
+++ b/workload/service/election.go
@@ -45,7 +45,7 @@
 // caughtUp reports whether everything that a planner takes over is being followed and has been
 // read to its end.
 func (s *Service) caughtUp() bool {
-	return s.plans.connected() && s.plans.upToDate() && s.acceptances.upToDate() && s.directory.Load() != nil && s.book.Complete()
+	return s.plans.connected() && s.plans.upToDate() && s.acceptances.upToDate() && s.directory.Load() != nil && s.book.IsComplete()
 }
 
 // caughtUpTo reports whether everything that was written before the claim with the token has
--- a/workload/service/follower.go
+++ b/workload/service/follower.go
@@ -73,7 +73,7 @@
 func (f *follower) run(ctx context.Context) {
 	needSnapshot, failed := true, false
 	// forgottenInRow counts the snapshots in a row after which the next read returned
-	// ErrForgotten.
+	// ErrCompacted.
 	forgottenInRow := 0
 	for ctx.Err() == nil {
 		var err error
@@ -97,7 +97,7 @@
 			}
 			needSnapshot = false
 			sleep(ctx, max(pause, f.minInterval()-time.Since(began)))
-		case errors.Is(err, ErrForgotten):
+		case errors.Is(err, ErrCompacted):
 			needSnapshot = true
 			sleep(ctx, snapshotRetryPause(forgottenInRow))
 			forgottenInRow++
@@ -249,7 +249,7 @@
 	began := f.clock.Now()
 	for {
 		page, err := f.readPage(ctx, 0)
-		if errors.Is(err, ErrForgotten) || errors.Is(err, ErrMalformed) {
+		if errors.Is(err, ErrCompacted) || errors.Is(err, ErrMalformed) {
 			// An offset that is not in the topic was not read here but came from another topic
 			// (see skipTo).
 			return f.catchUpFromSnapshot(ctx, began)
--- a/workload/service/freshness.go
+++ b/workload/service/freshness.go
@@ -9,17 +9,17 @@
 	"github.com/cobalttide/cobalttide/workload"
 )
 
-// Configured returns a refusal if this instance does not know the configuration in force. A
+// CheckConfigured returns a refusal if this instance does not know the configuration in force. A
 // current configuration is enough to accept jobs, since their records are idempotent, and a
 // restarted instance reads it long before all jobs.
-func (s *Service) Configured() error {
+func (s *Service) CheckConfigured() error {
 	if s.directory.Load() == nil {
-		return domain.Refuse(domain.ReasonNotReady, "", "no configuration has been read yet", "come back later").After(time.Second)
+		return domain.Refuse(domain.ReasonNotReady, "", "no configuration has been read yet", "come back later").WithRetryAfter(time.Second)
 	}
 	now := s.clock.Now()
 	age := s.declarations.age(now)
 	youngest := min(s.acceptances.minAge(now), s.statesAge(now))
-	if age < s.settings.Stale || s.isRecent(age, youngest) {
+	if age < s.settings.StaleAfter || s.isRecent(age, youngest) {
 		return nil
 	}
 	return logUnreachable()
@@ -27,7 +27,7 @@
 
 // CheckCurrent returns a refusal if this instance has not read the log for too long.
 func (s *Service) CheckCurrent() error {
-	if err := s.Configured(); err != nil {
+	if err := s.CheckConfigured(); err != nil {
 		return err
 	}
 	now := s.clock.Now()
@@ -51,7 +51,7 @@
 }
 
 func logUnreachable() error {
-	return domain.Refuse(domain.ReasonLogUnavailable, "", "this instance can't reach the log", "try another instance, or come back later").After(time.Second)
+	return domain.Refuse(domain.ReasonLogUnavailable, "", "this instance can't reach the log", "try another instance, or come back later").WithRetryAfter(time.Second)
 }
 
 // isRecent reports whether what was read can be acted on, given the ages of several topics:
@@ -60,10 +60,10 @@
 // the stale topic.
 func (s *Service) isRecent(ages ...time.Duration) bool {
 	oldest, youngest := slices.Max(ages), slices.Min(ages)
-	if oldest < s.settings.Stale {
+	if oldest < s.settings.StaleAfter {
 		return true
 	}
-	return youngest < s.settings.Stale && oldest < s.settings.Stale+s.settings.Stretch
+	return youngest < s.settings.StaleAfter && oldest < s.settings.StaleAfter+s.settings.PartialOutageGrace
 }
 
 // statesAge returns the age of the job states that callers are shown. A planner is the first to
--- a/workload/service/idle_test.go
+++ b/workload/service/idle_test.go
@@ -18,7 +18,7 @@
 		before := p.readCount(Declarations)
 		time.Sleep(duration)
 		made := p.readCount(Declarations) - before
-		stale := p.instances[0].settings.Stale
+		stale := p.instances[0].settings.StaleAfter
 		// The planner reads again without a pause.
 		limit := int(instances*duration/(stale/2)) + int(duration/plannerWait) + instances
 		if made > limit {
--- a/workload/service/linked_log_test.go
+++ b/workload/service/linked_log_test.go
@@ -131,7 +131,7 @@
 	const step = 20 * time.Millisecond
 	for stalled := time.Duration(0); remaining > 0; {
 		if ctx.Err() != nil {
-			return errors.Mark(ctx.Err(), ErrUnknown)
+			return errors.Mark(ctx.Err(), ErrOutcomeUnknown)
 		}
 		rate := d.rate()
 		if d.isLost != nil && remaining <= half && d.isLost(d.answers) {
@@ -143,7 +143,7 @@
 			stalled = 0
 		}
 		if stalled >= linkTimeout {
-			return errors.Mark(errors.New("the link transfers nothing"), ErrUnknown)
+			return errors.Mark(errors.New("the link transfers nothing"), ErrOutcomeUnknown)
 		}
 	}
 	return nil
@@ -189,7 +189,7 @@
 	page := Page{Next: from, End: t.end}
 	if from < t.first {
 		d.log.mu.Unlock()
-		return Page{}, ErrForgotten
+		return Page{}, ErrCompacted
 	}
 	size := emptyAnswerBytes
 	for _, e := range t.tail {
