--- a/workload/service/list_gaps_test.go
+++ b/workload/service/list_gaps_test.go
@@ -41,7 +41,7 @@
 			p.applyListEntry(entry)
 			p.syncWorkers()
 			written := s.clock.Now()
-			p.core.Held(control.HoldOrder{Worker: "w", Token: 1}, control.HoldAnswer{Verdict: control.Accepted, ClockMS: 100_000}, written, written)
+			p.core.HandleRenewal(control.RenewalOrder{Worker: "w", Token: 1}, control.RenewalAnswer{Result: control.Accepted, ClockMS: 100_000}, written, written)
 			c.gap(p, entry)
 			p.syncWorkers()
 			p.applyListEntry(Entry{Key: "w"})
@@ -55,8 +55,8 @@
 
 // isReportedAsLeft reports whether the core has noted an unlisted worker as departed.
 func isReportedAsLeft(p *planner) bool {
-	for _, n := range p.core.Notes() {
-		if n.Event == control.EventWorkerUnlisted {
+	for _, n := range p.core.Events() {
+		if n.Name == control.EventWorkerUnlisted {
 			return strings.Contains(n.Detail, "left=true")
 		}
 	}
--- a/workload/service/listings.go
+++ b/workload/service/listings.go
@@ -18,12 +18,12 @@
 	p.core.Evacuate(p.s.evacuations.list(), now)
 	if p.listInterrupted {
 		p.listInterrupted = false
-		p.core.ListInterrupted(now)
+		p.core.RecordListGap(now)
 	}
 	if p.listReplaced {
 		p.listReplaced = false
 		p.listRead = true
-		p.core.List(slices.Collect(maps.Values(p.listings)), now)
+		p.core.SetWorkers(slices.Collect(maps.Values(p.listings)), now)
 	} else {
 		p.syncChangedWorkers(now)
 	}
@@ -34,12 +34,12 @@
 func (p *planner) syncChangedWorkers(now time.Time) {
 	for id := range p.changedListings {
 		if l, ok := p.listings[id]; ok {
-			p.core.ListOne(l, now)
+			p.core.UpdateWorker(l, now)
 		} else {
-			p.core.Unlist(id, now)
+			p.core.RemoveWorker(id, now)
 		}
 	}
-	p.core.Sweep(now)
+	p.core.SettleUnlisted(now)
 }
 
 // decodedListing is an entry of the list with its decoded content.
--- a/workload/service/maintenance.go
+++ b/workload/service/maintenance.go
@@ -14,7 +14,7 @@
 	// List returns all hosts.
 	List(ctx context.Context) ([]control.HostListing, error)
 	// Maintain starts a host's maintenance on behalf of the holder.
-	Maintain(ctx context.Context, holder string, order control.DutyOrder) control.DutyVerdict
+	Maintain(ctx context.Context, holder string, order control.DutyOrder) control.DutyResult
 }
 
 // maintenanceWaves holds the declared maintenance waves and the planners' records of them. It
@@ -81,7 +81,7 @@
 func (p *planner) readHosts(ctx context.Context) {
 	requested := p.s.clock.Now()
 	p.mu.Lock()
-	wants := p.core.WantsHosts(requested)
+	wants := p.core.NeedsHosts(requested)
 	p.mu.Unlock()
 	if !wants {
 		return
@@ -94,7 +94,7 @@
 		return
 	}
 	p.mu.Lock()
-	p.core.Hosts(list, requested)
+	p.core.SetHosts(list, requested)
 	p.mu.Unlock()
 	notify(p.wakeRound)
 }
@@ -121,17 +121,17 @@
 	if !p.canOrder(now) {
 		return
 	}
-	for _, o := range p.core.Duties(now) {
+	for _, o := range p.core.DutyOrders(now) {
 		p.goroutines.Go(func() { p.sendDuty(ctx, o) })
 	}
 }
 
 func (p *planner) sendDuty(ctx context.Context, o control.DutyOrder) {
 	callCtx, cancel := context.WithTimeout(ctx, dutyTimeout)
-	verdict := p.s.settings.Hosts.Maintain(callCtx, p.s.settings.Instance, o)
+	result := p.s.settings.Hosts.Maintain(callCtx, p.s.settings.Instance, o)
 	cancel()
 	p.mu.Lock()
-	p.core.DutyDone(o, verdict, p.s.clock.Now())
+	p.core.HandleDutyAnswer(o, result, p.s.clock.Now())
 	p.mu.Unlock()
 	notify(p.wakeRound)
 }
--- a/workload/service/members.go
+++ b/workload/service/members.go
@@ -15,8 +15,8 @@
 // member is the record that an instance writes about itself.
 type member struct {
 	Address string `json:"address"`
-	// Power orders the candidates for the planner's role; the highest comes first.
-	Power float64 `json:"power"`
+	// EffectiveCores orders the candidates for the planner's role; the highest comes first.
+	EffectiveCores float64 `json:"power"`
 	// DataCentre is the data centre of the instance.
 	DataCentre string `json:"centre,omitempty"`
 }
@@ -48,12 +48,12 @@
 )
 
 func newMembers(s *Service) *members {
-	m := &members{self: s.settings.Instance, own: member{s.settings.Address, s.settings.Power, s.settings.DataCentre}, log: s.log, others: map[string]member{}}
+	m := &members{self: s.settings.Instance, own: member{s.settings.Address, s.settings.EffectiveCores, s.settings.DataCentre}, log: s.log, others: map[string]member{}}
 	m.changed = func(others []string, rank int) {
 		s.succession.setTurn(rank)
 		s.standby.setRank(rank)
-		if s.settings.Peers != nil {
-			s.settings.Peers(others)
+		if s.settings.OnPeersChanged != nil {
+			s.settings.OnPeersChanged(others)
 		}
 	}
 	m.follower = s.follow(Members, m.applyAll, m.apply, func() time.Duration { return 0 })
@@ -143,7 +143,7 @@
 // load is spread and the powerful ones stay free for planning.
 func (m *members) peers(all map[string]member, order []string, rank int) []string {
 	from := 0
-	if m.own.Power < all[order[0]].Power {
+	if m.own.EffectiveCores < all[order[0]].EffectiveCores {
 		from = rank + 1
 	}
 	var out []string
@@ -155,24 +155,24 @@
 	return out
 }
 
-// orderCandidates sorts the instances by rank for the planner's role: by power, and among
+// orderCandidates sorts the instances by rank for the planner's role: by effective cores, and among
 // equals one of each data centre, then a second one of each and so on, so that the standbys are
 // not all lost together.
 func orderCandidates(all map[string]member) []string {
 	names := slices.Sorted(maps.Keys(all))
 	type class struct {
-		power  float64
+		cores  float64
 		centre string
 	}
 	before := map[class]int{}
 	ordinal := map[string]int{}
 	for _, name := range names {
-		c := class{all[name].Power, all[name].DataCentre}
+		c := class{all[name].EffectiveCores, all[name].DataCentre}
 		ordinal[name] = before[c]
 		before[c]++
 	}
 	slices.SortStableFunc(names, func(a, b string) int {
-		if by := cmp.Compare(all[b].Power, all[a].Power); by != 0 {
+		if by := cmp.Compare(all[b].EffectiveCores, all[a].EffectiveCores); by != 0 {
 			return by
 		}
 		return cmp.Compare(ordinal[a], ordinal[b])
--- a/workload/service/meter.go
+++ b/workload/service/meter.go
@@ -51,7 +51,7 @@
 	{workload.AcceptedKey(""), "acceptance"},
 	{workload.CancelledKey(""), "cancellation"},
 	{workload.ProgressKey(""), "progress"},
-	{workload.StatedKey(""), "statement"},
+	{workload.StatusKey(""), "statement"},
 	{statesHeartbeatKey, "head"},
 	{planHeartbeatKey, "sign"},
 	{claimKey, "claim"},
@@ -87,7 +87,7 @@
 	if err != nil {
 		u.failed++
 	}
-	if errors.Is(err, ErrForgotten) {
+	if errors.Is(err, ErrCompacted) {
 		u.forgotten++
 	}
 	if operation == telemetry.LogNewest {
--- a/workload/service/orders.go
+++ b/workload/service/orders.go
@@ -13,11 +13,11 @@
 
 const (
 	stopTimeout = 600 * time.Millisecond
-	// holdMargin is the time that a hold may take in addition to its requested wait.
-	holdMargin = 700 * time.Millisecond
-	// HoldGivenUp is the time after the end of a hold's wait at which an unanswered hold is
-	// followed by the next one.
-	HoldGivenUp = holdMargin + control.HoldRetry
+	// renewalMargin is the time that a lease renewal may take in addition to its requested wait.
+	renewalMargin = 700 * time.Millisecond
+	// RenewalRetryDelay is the time after the end of a renewal's wait at which an unanswered renewal
+	// is followed by the next one.
+	RenewalRetryDelay = renewalMargin + control.RenewalRetryPause
 )
 
 func (p *planner) sendStart(ctx context.Context, o control.StartOrder) {
@@ -26,39 +26,39 @@
 		// suspension of its sender.
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, p.orderTimeout.Patience())
+	callCtx, cancel := context.WithTimeout(ctx, p.orderTimeout.Timeout())
 	sent := time.Now()
 	answer := p.s.workers.Start(callCtx, o)
 	cancel()
 	p.orderTimeout.Observe(time.Since(sent))
 	p.s.metrics.Observe(telemetry.StartAnswer, time.Since(sent))
 	p.mu.Lock()
-	p.core.Started(o, answer, p.s.clock.Now())
+	p.core.HandleStartAnswer(o, answer, p.s.clock.Now())
 	p.mu.Unlock()
-	if answer.Verdict != control.Accepted {
+	if answer.Result != control.Accepted {
 		p.wakeAll()
 	}
 }
 
 func (p *planner) sendStop(ctx context.Context, o control.StopOrder) {
-	answer := control.Answer{Verdict: control.Unreached}
+	answer := control.Answer{Result: control.Unreachable}
 	if p.canOrderNow() {
 		callCtx, cancel := context.WithTimeout(ctx, stopTimeout)
 		answer = p.s.workers.Stop(callCtx, o)
 		cancel()
 	}
 	p.mu.Lock()
-	p.core.Stopped(o, answer, p.s.clock.Now())
+	p.core.HandleStopAnswer(o, answer, p.s.clock.Now())
 	p.mu.Unlock()
 	p.wakeAll()
 }
 
-func (p *planner) sendPace(ctx context.Context, o control.PaceOrder) {
-	callCtx, cancel := context.WithTimeout(ctx, p.orderTimeout.Patience())
-	answer := p.s.workers.Pace(callCtx, o)
+func (p *planner) sendThrottle(ctx context.Context, o control.ThrottleOrder) {
+	callCtx, cancel := context.WithTimeout(ctx, p.orderTimeout.Timeout())
+	answer := p.s.workers.Throttle(callCtx, o)
 	cancel()
 	p.mu.Lock()
-	p.core.Paced(o, answer, p.s.clock.Now())
+	p.core.HandleThrottleAnswer(o, answer, p.s.clock.Now())
 	p.mu.Unlock()
 }
 
@@ -67,43 +67,43 @@
 const adviceMargin = time.Second
 
 func (p *planner) requestAdvice(ctx context.Context, o control.AdviceOrder) {
-	callCtx, cancel := context.WithTimeout(ctx, o.Takes+adviceMargin)
+	callCtx, cancel := context.WithTimeout(ctx, o.ExpectedTime+adviceMargin)
 	sent := p.s.clock.Now()
 	answer := p.s.workers.Advise(callCtx, o)
 	cancel()
 	p.s.metrics.Observe(telemetry.AdviceAnswer, p.s.clock.Since(sent))
 	p.mu.Lock()
-	p.core.Advised(o, answer, sent, p.s.clock.Now())
+	p.core.HandleAdvice(o, answer, sent, p.s.clock.Now())
 	p.mu.Unlock()
 	p.wakeAll()
 }
 
 // renewLease keeps one worker's lease alive and receives its reports, in consecutive calls
 // without a pause, while there is a lease to renew.
-func (p *planner) renewLease(ctx context.Context, o control.HoldOrder) {
+func (p *planner) renewLease(ctx context.Context, o control.RenewalOrder) {
 	for again := true; again && ctx.Err() == nil; {
 		sent := p.s.clock.Now()
-		answer := control.HoldAnswer{Verdict: control.Unreached}
+		answer := control.RenewalAnswer{Result: control.Unreachable}
 		if p.canOrderNow() {
-			callCtx, cancel := context.WithTimeout(ctx, o.Wait+holdMargin)
-			answer = p.s.workers.Hold(callCtx, o)
+			callCtx, cancel := context.WithTimeout(ctx, o.Wait+renewalMargin)
+			answer = p.s.workers.Renew(callCtx, o)
 			cancel()
 		}
-		o, again = p.handleHoldAnswer(o, answer, sent)
-		if len(answer.Ended) > 0 || answer.Verdict != control.Accepted {
+		o, again = p.handleRenewalAnswer(o, answer, sent)
+		if len(answer.Ended) > 0 || answer.Result != control.Accepted {
 			p.wakeAll()
 		}
 	}
 }
 
-// handleHoldAnswer processes an answer and returns the worker's next hold, if it is due now.
-func (p *planner) handleHoldAnswer(o control.HoldOrder, answer control.HoldAnswer, sent time.Time) (control.HoldOrder, bool) {
+// handleRenewalAnswer processes an answer and returns the worker's next renewal, if it is due now.
+func (p *planner) handleRenewalAnswer(o control.RenewalOrder, answer control.RenewalAnswer, sent time.Time) (control.RenewalOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.s.clock.Now()
-	p.core.Held(o, answer, sent, now)
+	p.core.HandleRenewal(o, answer, sent, now)
 	if !p.canOrder(now) {
-		return control.HoldOrder{}, false
+		return control.RenewalOrder{}, false
 	}
-	return p.core.Hold(o.Worker, now)
+	return p.core.NextRenewal(o.Worker, now)
 }
--- a/workload/service/partial_outage_test.go
+++ b/workload/service/partial_outage_test.go
@@ -60,7 +60,7 @@
 
 func hang(ctx context.Context) error {
 	<-ctx.Done()
-	return errors.Mark(ctx.Err(), ErrUnknown)
+	return errors.Mark(ctx.Err(), ErrOutcomeUnknown)
 }
 
 // Guards against submissions that fail while one of their two topics accepts them, and against a
@@ -74,8 +74,8 @@
 		"the home topic does not answer":                   {hang, nil, nil},
 		"the other topic refuses":                          {nil, refuse, nil},
 		"both refuse":                                      {refuse, refuse, ErrNotDone},
-		"no answer from the home topic, the other refuses": {hang, refuse, ErrUnknown},
-		"the home topic refuses, no answer from the other": {refuse, hang, ErrUnknown},
+		"no answer from the home topic, the other refuses": {hang, refuse, ErrOutcomeUnknown},
+		"the home topic refuses, no answer from the other": {refuse, hang, ErrOutcomeUnknown},
 		"neither refuses":                                  {nil, nil, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 // Guards against an instance that stops working as soon as one part of the log is down, and
 // against one that acts on stale reads for an unlimited time.
 func TestPartlyStaleReadsAreActedOnForALimitedTime(t *testing.T) {
-	s := &Service{settings: Settings{Stale: 2 * time.Second, Stretch: 5 * time.Second}}
+	s := &Service{settings: Settings{StaleAfter: 2 * time.Second, PartialOutageGrace: 5 * time.Second}}
 	for _, c := range []struct {
 		oldest, youngest time.Duration
 		want             bool
@@ -120,12 +120,12 @@
 	for _, topic := range []Topic{Jobs, SpareJobs} {
 		t.Run(string(topic), func(t *testing.T) {
 			log := &partialLog{written: map[Topic]int{}, faults: map[Topic]func(context.Context) error{topic: refuse}}
-			s := New(Settings{Instance: "a", Stale: time.Second, Stretch: time.Hour}, log, nil, nil, nil, nil)
+			s := New(Settings{Instance: "a", StaleAfter: time.Second, PartialOutageGrace: time.Hour}, log, nil, nil, nil, nil)
 			s.directory.Store(&Directory{Version: 1})
 			for _, f := range append(slices.Clone(s.acceptances.topics), s.states, s.plans, s.declarations) {
 				f.readToEndAt = time.Now()
 				if f.topic == topic {
-					f.readToEndAt = time.Now().Add(-2 * s.settings.Stale)
+					f.readToEndAt = time.Now().Add(-2 * s.settings.StaleAfter)
 				}
 			}
 			_, err := s.State(context.Background(), workload.JobID("00000000000000aa"))
@@ -145,7 +145,7 @@
 func TestNotFoundIsNotReturnedFromEarlierReads(t *testing.T) {
 	for _, topic := range []Topic{Jobs, SpareJobs} {
 		log := &partialLog{written: map[Topic]int{}, faults: map[Topic]func(context.Context) error{topic: refuse}}
-		s := New(Settings{Instance: "a", Stale: time.Second, Stretch: time.Hour}, log, nil, nil, nil, nil)
+		s := New(Settings{Instance: "a", StaleAfter: time.Second, PartialOutageGrace: time.Hour}, log, nil, nil, nil, nil)
 		s.directory.Store(&Directory{Version: 1})
 		for _, f := range append(slices.Clone(s.acceptances.topics), s.states, s.plans, s.declarations) {
 			f.readToEndAt = time.Now()
@@ -178,7 +178,7 @@
 func TestNothingStartsOnStaleReads(t *testing.T) {
 	now := time.Now()
 	for _, topic := range []Topic{Jobs, SpareJobs, WorkerList} {
-		s := New(Settings{Instance: "a", Stale: 2 * time.Second, Stretch: 5 * time.Second}, &partialLog{}, nil, nil, nil, nil)
+		s := New(Settings{Instance: "a", StaleAfter: 2 * time.Second, PartialOutageGrace: 5 * time.Second}, &partialLog{}, nil, nil, nil, nil)
 		p := &planner{s: s, lastWrite: now, listFollower: s.follow(WorkerList, nil, nil, nil)}
 		for _, f := range append(slices.Clone(s.acceptances.topics), p.listFollower) {
 			f.readToEndAt = now
--- a/workload/service/planner.go
+++ b/workload/service/planner.go
@@ -17,8 +17,8 @@
 type Workers interface {
 	Start(ctx context.Context, order control.StartOrder) control.Answer
 	Stop(ctx context.Context, order control.StopOrder) control.Answer
-	Hold(ctx context.Context, order control.HoldOrder) control.HoldAnswer
-	Pace(ctx context.Context, order control.PaceOrder) control.Answer
+	Renew(ctx context.Context, order control.RenewalOrder) control.RenewalAnswer
+	Throttle(ctx context.Context, order control.ThrottleOrder) control.Answer
 	// Advise calls the service that implements a queue's policy.
 	Advise(ctx context.Context, order control.AdviceOrder) control.AdviceAnswer
 }
@@ -44,7 +44,7 @@
 	statesChanged chan struct{}
 	goroutines    sync.WaitGroup
 
-	orderTimeout AnswerTimes
+	orderTimeout AdaptiveTimeout
 
 	mu   sync.Mutex
 	core *control.Core
@@ -95,17 +95,17 @@
 	defer cancel()
 	now, claimed := s.clock.Now(), s.succession.claimSent()
 	p := &planner{
-		s: s, token: token, writer: Writer{Epoch: token, Seq: s.succession.firstSeq() + 1, Expect: -1},
+		s: s, token: token, writer: Writer{Epoch: token, Seq: s.succession.firstSeq() + 1, ExpectedEnd: -1},
 		wakeRound: make(chan struct{}, 1), wakeOrders: make(chan struct{}, 1), statesChanged: make(chan struct{}, 1), core: control.New(s.settings.Bounds, token, now),
 		lastWrite: claimed, listings: map[string]control.Listing{}, unreadable: map[string]string{}, changedListings: map[string]bool{},
 	}
 	if ended := s.succession.ordersEnded(); !ended.IsZero() {
-		p.core.Succeeds(ended)
+		p.core.SetPredecessorSilentSince(ended)
 	}
 	s.lastPlanWrite.Store(&claimed)
 	s.planning.Store(true)
-	s.book.Fresh()
-	s.book.All(p.core.Adopt)
+	s.book.TakeChanged()
+	s.book.ForEach(p.core.Adopt)
 	p.logBegin()
 	p.listFollower = s.follow(WorkerList, p.applyList, p.applyListEntry, func() time.Duration { return listPause })
 	p.listFollower.connectionChanged = p.reportListConnection
@@ -123,10 +123,10 @@
 
 // logBegin logs the state from which the planner starts.
 func (p *planner) logBegin() {
-	known := p.s.book.Census()
+	known := p.s.book.CountOpen()
 	p.s.events.Info(events.PlannerBegins, events.Fields{
 		"token": p.token, "read_to": p.s.plans.offset(), "current": p.s.plans.upToDate() && p.s.acceptances.upToDate(),
-		"strangers_ms": p.core.StrangersUntil().Sub(p.s.clock.Now()).Milliseconds(), "adopted": p.core.Jobs(), "open": known.Open, "unaccepted": known.Unaccepted, "unrecorded": known.Unrecorded,
+		"strangers_ms": p.core.InheritedLeasesEnd().Sub(p.s.clock.Now()).Milliseconds(), "adopted": p.core.Jobs(), "open": known.Open, "unaccepted": known.MissingAcceptance, "unrecorded": known.MissingProgress,
 	})
 }
 
@@ -139,7 +139,7 @@
 			return "shutdown"
 		case <-timer.C:
 		case <-p.wakeRound:
-		case <-p.s.book.Wake():
+		case <-p.s.book.Changes():
 		}
 		if reason := p.round(ctx); reason != "" {
 			return reason
@@ -167,12 +167,12 @@
 		p.s.metrics.Observe(telemetry.Round, p.decisionTime)
 		p.stats.rounds.add(p.decisionTime)
 	}
-	p.updateGauges(p.core.Evacuated(p.s.clock.Now()))
+	p.updateGauges(p.core.EvacuationStatus(p.s.clock.Now()))
 	records := p.core.Changes()
 	p.logNotes()
 	p.mu.Unlock()
 	notify(p.wakeOrders)
-	if len(records) > 0 || p.s.clock.Since(p.lastWrite) > p.s.settings.Patience/4 {
+	if len(records) > 0 || p.s.clock.Since(p.lastWrite) > p.s.settings.PlannerTimeout/4 {
 		began := time.Now()
 		if err := p.write(ctx, records); err != nil {
 			return err.Error()
@@ -223,7 +223,7 @@
 		p.configVersion = d.Version
 		p.core.Configure(d.Configuration())
 	}
-	for _, id := range p.s.book.Fresh() {
+	for _, id := range p.s.book.TakeChanged() {
 		if e, ok := p.s.book.Get(id); ok && e.Job != nil {
 			p.core.Adopt(id, e)
 		}
@@ -240,24 +240,24 @@
 	gaugeEvacuatedRuns    = "evacuated_runs"
 )
 
-func (p *planner) updateGauges(remaining control.Evacuated) {
-	p.s.metrics.Set(gaugeEvacuatedCentres, float64(remaining.Centres))
-	p.s.metrics.Set(gaugeEvacuatedRuns, float64(remaining.Runs))
+func (p *planner) updateGauges(remaining control.EvacuationStatus) {
+	p.s.metrics.SetGauge(gaugeEvacuatedCentres, float64(remaining.Centres))
+	p.s.metrics.SetGauge(gaugeEvacuatedRuns, float64(remaining.Runs))
 }
 
 // logNotes logs the core's notes as events.
 func (p *planner) logNotes() {
-	for _, n := range p.core.Notes() {
+	for _, n := range p.core.Events() {
 		fields := events.Fields{"token": p.token, "version": p.configVersion}
 		addField(fields, "job", string(n.Job))
 		addField(fields, "task", n.Task)
 		addField(fields, "worker", n.Worker)
-		addField(fields, "why", n.Why)
+		addField(fields, "why", n.Reason)
 		addField(fields, "detail", n.Detail)
 		if n.Run != 0 {
 			fields["run"] = n.Run
 		}
-		p.s.events.Info(events.Name(n.Event), fields)
+		p.s.events.Info(events.Name(n.Name), fields)
 	}
 }
 
@@ -345,7 +345,7 @@
 // hasAuthority reports whether orders may be given: the last write is recent enough that no
 // successor regards this planner's leases as expired.
 func (p *planner) hasAuthority(now time.Time) bool {
-	return now.Sub(p.lastWrite) < p.s.settings.Bounds.Authority
+	return now.Sub(p.lastWrite) < p.s.settings.Bounds.AuthorityPeriod
 }
 
 // sendStarts sends the start orders that the last write has made safe.
@@ -392,11 +392,11 @@
 	if !p.canOrder(p.s.clock.Now()) {
 		return
 	}
-	for _, o := range p.core.Stops() {
+	for _, o := range p.core.StopOrders() {
 		p.goroutines.Go(func() { p.sendStop(ctx, o) })
 	}
-	for _, o := range p.core.Paces() {
-		p.goroutines.Go(func() { p.sendPace(ctx, o) })
+	for _, o := range p.core.ThrottleOrders() {
+		p.goroutines.Go(func() { p.sendThrottle(ctx, o) })
 	}
 }
 
@@ -409,15 +409,15 @@
 	}
 	if p.hasRecentReadings(now) {
 		p.syncWorkers()
-		for _, o := range p.core.Due(now) {
+		for _, o := range p.core.RetryOrders(now) {
 			p.goroutines.Go(func() { p.sendStart(ctx, o) })
 		}
 	}
-	if o, ok := p.core.Ask(now); ok {
+	if o, ok := p.core.NextAdviceOrder(now); ok {
 		p.goroutines.Go(func() { p.requestAdvice(ctx, o) })
 	}
-	for _, id := range p.core.NeedsHold(now) {
-		if o, ok := p.core.Hold(id, now); ok {
+	for _, id := range p.core.WorkersToRenew(now) {
+		if o, ok := p.core.NextRenewal(id, now); ok {
 			p.goroutines.Go(func() { p.renewLease(ctx, o) })
 		}
 	}
--- a/workload/service/pool_test.go
+++ b/workload/service/pool_test.go
@@ -108,8 +108,8 @@
 		if w.Epoch == t.epoch && w.Seq == t.seq {
 			return t.lastAppendOffset, nil
 		}
-		if w.Expect >= 0 && w.Expect != end {
-			return 0, ErrMoved
+		if w.ExpectedEnd >= 0 && w.ExpectedEnd != end {
+			return 0, ErrUnexpectedEnd
 		}
 		if w.Epoch < t.epoch || (w.Epoch == t.epoch && w.Seq != t.seq+1) {
 			return 0, ErrFenced
@@ -148,11 +148,11 @@
 	if l.unanswered[topic] {
 		l.mu.Unlock()
 		sleep(ctx, wait+unansweredMargin)
-		return Page{}, ErrUnknown
+		return Page{}, ErrOutcomeUnknown
 	}
 	if from < t.firstKept {
 		l.mu.Unlock()
-		return Page{}, ErrForgotten
+		return Page{}, ErrCompacted
 	}
 	changed, empty := t.changed, int64(len(t.records)) <= from
 	l.mu.Unlock()
@@ -162,7 +162,7 @@
 		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
-			return Page{}, ErrUnknown
+			return Page{}, ErrOutcomeUnknown
 		}
 		timer.Stop()
 	}
@@ -222,7 +222,7 @@
 
 func (w *poolWorkers) observe(e workertest.Event) {
 	switch {
-	case e.How == "":
+	case e.End == "":
 		w.started[e.Task]++
 		w.starts = append(w.starts, taskStart{time.Now(), e.Worker})
 		if w.running[e.Task]++; w.running[e.Task] > 1 || w.done[e.Task] > 0 {
@@ -230,7 +230,7 @@
 		}
 	default:
 		w.running[e.Task]--
-		if e.How == control.EndDone {
+		if e.End == control.EndDone {
 			w.done[e.Task]++
 		}
 	}
@@ -266,12 +266,12 @@
 	return out
 }
 
-func (w *poolWorkers) Hold(ctx context.Context, o control.HoldOrder) (out control.HoldAnswer) {
+func (w *poolWorkers) Renew(ctx context.Context, o control.RenewalOrder) (out control.RenewalAnswer) {
 	w.notifyOrder(o.Token)
 	for until := time.Now().Add(o.Wait); ; sleep(ctx, 50*time.Millisecond) {
 		hasEnds := false
 		w.withWorker(o.Worker, func(worker *workertest.Worker) {
-			out = worker.Hold(o, time.Now())
+			out = worker.Renew(o, time.Now())
 			hasEnds = len(out.Ended) > 0
 		})
 		if hasEnds || !time.Now().Before(until) || ctx.Err() != nil {
@@ -280,7 +280,7 @@
 	}
 }
 
-func (w *poolWorkers) Pace(context.Context, control.PaceOrder) control.Answer {
+func (w *poolWorkers) Throttle(context.Context, control.ThrottleOrder) control.Answer {
 	return control.Answer{}
 }
 
@@ -307,7 +307,7 @@
 	return out, json.Unmarshal(value, &out)
 }
 
-var poolTerms = workload.Terms{Service: "pool", Attempts: 3, Stretch: 3, TargetMS: 1000}
+var poolTerms = workload.QueueSettings{Service: "pool", MaxAttempts: 3, Stretch: 3, TargetMS: 1000}
 
 // pool is a deployment of instances and workers in virtual time.
 type pool struct {
@@ -343,12 +343,12 @@
 	p := &pool{t: t, log: newSharedLog(poolReadRate)}
 	p.workers = &poolWorkers{running: map[workload.TaskID]int{}, started: map[workload.TaskID]int{}, done: map[workload.TaskID]int{}}
 	p.workers.fleet = &workertest.Fleet{
-		Limits: workertest.Limits{HoldMax: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second, CheckpointEvery: time.Second},
+		Limits: workertest.Limits{MaxLease: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second, CheckpointEvery: time.Second},
 		Step:   func(workload.TaskID) (workload.Step, bool) { return poolStep(), true },
 		Work: func(workload.TaskID, int64, string) workertest.Work {
 			return workertest.Work{Takes: poolTaskTime}
 		},
-		Seen: p.workers.observe,
+		OnEvent: p.workers.observe,
 	}
 	capacity := workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}
 	for i := range workers {
@@ -389,12 +389,12 @@
 // poolSettings returns the settings of an instance of a pool.
 func poolSettings(name string, power float64, centre string) Settings {
 	bounds := control.Bounds{
-		Lease: 6 * time.Second, Authority: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second,
-		ReclaimWithin: 3 * time.Second, FarFactor: 3, Wait: 1500 * time.Millisecond,
+		Lease: 6 * time.Second, AuthorityPeriod: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 5 * time.Second,
+		ReclaimWithin: 3 * time.Second, RemoteFactor: 3, PollWait: 1500 * time.Millisecond,
 	}
 	return Settings{
-		Instance: name, Address: name, Bounds: bounds, Patience: 1600 * time.Millisecond, Stale: 4 * time.Second, Stretch: poolStretch,
-		Power: power, DataCentre: centre, Standbys: 5,
+		Instance: name, Address: name, Bounds: bounds, PlannerTimeout: 1600 * time.Millisecond, StaleAfter: 4 * time.Second, PartialOutageGrace: poolStretch,
+		EffectiveCores: power, DataCentre: centre, Standbys: 5,
 	}
 }
 
@@ -422,7 +422,7 @@
 
 // submit submits a job to an instance, which must accept it.
 func (p *pool) submit(n int, at *poolInstance) {
-	job := &workload.Job{ID: workload.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Spec: strings.Repeat("x", poolSpecBytes), Steps: []workload.Step{poolStep()}, AcceptedMS: time.Now().UnixMilli(), Terms: poolTerms}
+	job := &workload.Job{ID: workload.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Spec: strings.Repeat("x", poolSpecBytes), Steps: []workload.Step{poolStep()}, AcceptedMS: time.Now().UnixMilli(), QueueSettings: poolTerms}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if err := at.Submit(ctx, job); err != nil {
@@ -434,7 +434,7 @@
 
 // trySubmit submits a job to an instance and ignores the result.
 func (p *pool) trySubmit(n int, at *poolInstance) {
-	job := &workload.Job{ID: workload.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Spec: "s", Steps: []workload.Step{poolStep()}, AcceptedMS: time.Now().UnixMilli(), Terms: poolTerms}
+	job := &workload.Job{ID: workload.JobID(fmt.Sprintf("%016x", n)), Queue: "q", Spec: "s", Steps: []workload.Step{poolStep()}, AcceptedMS: time.Now().UnixMilli(), QueueSettings: poolTerms}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	_ = at.Submit(ctx, job)
--- a/workload/service/ports.go
+++ b/workload/service/ports.go
@@ -35,8 +35,8 @@
 	Members Topic = "members"
 )
 
-// MostAcceptTopics is the maximum number of topics of acceptances.
-const MostAcceptTopics = 16
+// MaxAcceptTopics is the maximum number of topics of acceptances.
+const MaxAcceptTopics = 16
 
 // AcceptTopic returns the name of the nth topic of acceptances, counted from 0.
 func AcceptTopic(n int) Topic {
@@ -83,14 +83,14 @@
 type Writer struct {
 	Epoch int64
 	Seq   int64
-	// Expect is the required end offset of the topic; a negative value matches any.
-	Expect int64
+	// ExpectedEnd is the required end offset of the topic; a negative value matches any.
+	ExpectedEnd int64
 }
 
 // Log is the durable store of all records.
 type Log interface {
 	// Append adds the records consecutively, all or none, and returns the offset of the first.
-	// An error has one of the marks below. Any other error leaves open, like ErrUnknown,
+	// An error has one of the marks below. Any other error leaves open, like ErrOutcomeUnknown,
 	// whether the records were added.
 	Append(ctx context.Context, topic Topic, records []control.Record, writer *Writer) (int64, error)
 	// Read returns records from an offset on. If there are none, it waits up to wait for one
@@ -108,14 +108,14 @@
 var (
 	// ErrNotDone: nothing was added and nothing will be.
 	ErrNotDone = errors.New("the log refused the call and did nothing: repeat it later")
-	// ErrUnknown: the call was not answered and may still be carried out.
-	ErrUnknown = errors.New("the log did not answer: read the topic to see whether the call was carried out")
+	// ErrOutcomeUnknown: the call was not answered and may still be carried out.
+	ErrOutcomeUnknown = errors.New("the log did not answer: read the topic to see whether the call was carried out")
 	// ErrFenced: a later planner has written.
 	ErrFenced = errors.New("a later planner has written: stop giving orders")
-	// ErrMoved: the topic does not end at the expected offset.
-	ErrMoved = errors.New("the topic does not end at the expected offset: read it and decide again")
-	// ErrForgotten: the log no longer keeps the requested records.
-	ErrForgotten = errors.New("the records are no longer kept: read the newest of each key")
+	// ErrUnexpectedEnd: the topic does not end at the expected offset.
+	ErrUnexpectedEnd = errors.New("the topic does not end at the expected offset: read it and decide again")
+	// ErrCompacted: the log no longer keeps the requested records.
+	ErrCompacted = errors.New("the records are no longer kept: read the newest of each key")
 	// ErrMalformed: the answer is inconsistent or can't be decoded.
 	ErrMalformed = errors.New("the log's answer is malformed: read the newest of each key again")
 )
--- a/workload/service/recovery_test.go
+++ b/workload/service/recovery_test.go
@@ -151,7 +151,7 @@
 		d.isLost = func(n int) bool { return n == 3 }
 		snapshot := snapshotReader{}
 		ctx := context.Background()
-		if err := snapshot.read(ctx, d, Jobs, nil); !errors.Is(err, ErrUnknown) {
+		if err := snapshot.read(ctx, d, Jobs, nil); !errors.Is(err, ErrOutcomeUnknown) {
 			t.Fatalf("a lost page returned %v, want ErrUnknown", err)
 		}
 		if err := snapshot.read(ctx, d, Jobs, nil); err != nil {
@@ -270,13 +270,13 @@
 // everything is read: it accepts jobs as soon as it knows the configuration, returns final
 // states, and returns not-found only once everything is read.
 func TestRequestsServedBeforeEverythingIsRead(t *testing.T) {
-	s := New(Settings{Instance: "a", Stale: 2 * time.Second, Stretch: 5 * time.Second}, &partialLog{}, nil, nil, nil, nil)
-	if s.Configured() == nil {
+	s := New(Settings{Instance: "a", StaleAfter: 2 * time.Second, PartialOutageGrace: 5 * time.Second}, &partialLog{}, nil, nil, nil, nil)
+	if s.CheckConfigured() == nil {
 		t.Fatal("accepts jobs without a configuration")
 	}
 	s.directory.Store(&Directory{Version: 1})
 	s.declarations.readToEndAt = time.Now()
-	if err := s.Configured(); err != nil {
+	if err := s.CheckConfigured(); err != nil {
 		t.Fatalf("does not accept jobs although the configuration is current: %v", err)
 	}
 	if s.Ready() {
@@ -411,7 +411,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := newLinkedLog(0)
 		a := &countingLog{unavailableLog: &unavailableLog{logLink: newLogLink(log, constantRate(megabits(100)))}}
-		s := New(Settings{Instance: "a", Stale: 2 * time.Second}, a, nil, nil, nil, nil)
+		s := New(Settings{Instance: "a", StaleAfter: 2 * time.Second}, a, nil, nil, nil, nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		var group sync.WaitGroup
 		followers := []*follower{s.states, s.acceptances.topics[0], s.plans}
--- a/workload/service/refusal_test.go
+++ b/workload/service/refusal_test.go
@@ -38,10 +38,10 @@
 	}
 	metrics := telemetry.New()
 	out := &bytes.Buffer{}
-	log := events.New(out, events.Fields{"instance": "a"}, metrics.Count)
+	log := events.New(out, events.Fields{"instance": "a"}, metrics.CountEvent)
 	s := New(Settings{Instance: "a"}, &partialLog{}, nil, nil, log, metrics)
 	for i, reason := range list {
-		s.NoteRefusal(workload.JobID(fmt.Sprintf("%016x", i)), domain.Refuse(reason, "", "message", "remedy"))
+		s.LogRefusal(workload.JobID(fmt.Sprintf("%016x", i)), domain.Refuse(reason, "", "message", "remedy"))
 	}
 	log.Close(time.Second)
 	answer := httptest.NewRecorder()
--- a/workload/service/resignation_test.go
+++ b/workload/service/resignation_test.go
@@ -62,7 +62,7 @@
 		late := 0
 		p.workers.mu.Lock()
 		p.workers.onOrder = func(order int64) {
-			if control.Claim(order) == token && p.log.hasResignation() {
+			if control.ClaimToken(order) == token && p.log.hasResignation() {
 				late++
 			}
 		}
--- a/workload/service/retention.go
+++ b/workload/service/retention.go
@@ -58,7 +58,7 @@
 // dropExpired drops the records of jobs that ended long ago, which bounds the size of the log
 // and the memory of the instances.
 func (p *planner) dropExpired(ctx context.Context) {
-	keep := p.s.settings.Keep
+	keep := p.s.settings.Retention
 	if keep <= 0 || p.s.clock.Since(p.lastDrop) < dropInterval {
 		return
 	}
--- a/workload/service/retention_test.go
+++ b/workload/service/retention_test.go
@@ -14,7 +14,7 @@
 // progress that is dropped before its acceptance.
 func TestExpiredJobsAreDroppedAcceptanceFirst(t *testing.T) {
 	log := &memoryLog{}
-	s := New(Settings{Instance: "a", Keep: time.Second}, log, nil, nil, nil, nil)
+	s := New(Settings{Instance: "a", Retention: time.Second}, log, nil, nil, nil, nil)
 	endedMS := time.Now().Add(-10 * time.Second).UnixMilli()
 	for _, e := range []Entry{
 		{Offset: 0, Key: workload.AcceptedKey("a"), Value: []byte(`{"id":"a","queue":"q"}`)},
@@ -23,7 +23,7 @@
 	} {
 		s.applyJobRecord(e)
 	}
-	p := &planner{s: s, core: control.New(control.Bounds{}, 1, time.Now()), writer: Writer{Epoch: 1, Seq: 1, Expect: -1}}
+	p := &planner{s: s, core: control.New(control.Bounds{}, 1, time.Now()), writer: Writer{Epoch: 1, Seq: 1, ExpectedEnd: -1}}
 	p.dropExpired(context.Background())
 	if len(log.records) != 2 || log.records[0].Key != workload.AcceptedKey("a") || len(log.records[0].Value) != 0 {
 		t.Fatalf("%+v", log.records)
@@ -43,12 +43,12 @@
 // would be taken for a new job.
 func TestProgressIsDroppedAfterEveryAcceptanceDespiteATopicOutage(t *testing.T) {
 	log := &partialLog{written: map[Topic]int{}, faults: map[Topic]func(context.Context) error{SpareJobs: refuse}}
-	s := New(Settings{Instance: "a", Keep: time.Second}, log, nil, nil, nil, nil)
+	s := New(Settings{Instance: "a", Retention: time.Second}, log, nil, nil, nil, nil)
 	s.acceptances.topics[1].next = 1
 	endedMS := time.Now().Add(-time.Hour).UnixMilli()
 	s.applyJobRecord(Entry{Offset: 0, Key: workload.AcceptedKey("a"), Value: []byte(`{"id":"a","queue":"q"}`)})
 	s.applyJobRecord(Entry{Offset: 1, Key: workload.ProgressKey("a"), Value: []byte(`{"state":"completed","ended":` + strconv.FormatInt(endedMS, 10) + `}`)})
-	p := &planner{s: s, core: control.New(control.Bounds{}, 1, time.Now()), writer: Writer{Epoch: 1, Seq: 1, Expect: -1}}
+	p := &planner{s: s, core: control.New(control.Bounds{}, 1, time.Now()), writer: Writer{Epoch: 1, Seq: 1, ExpectedEnd: -1}}
 	dropNow := func() {
 		p.lastDrop = time.Time{}
 		p.dropExpired(context.Background())
@@ -97,11 +97,11 @@
 		later.applyJobRecord(e)
 	}
 	e, known := later.book.Get("a")
-	if !known || e.Shown() != workload.Completed || e.Job.Queue != "q" || len(e.Job.Steps) != 0 {
+	if !known || e.VisibleState() != workload.Completed || e.Job.Queue != "q" || len(e.Job.Steps) != 0 {
 		t.Fatalf("%+v, %t", e, known)
 	}
 	core := control.New(control.Bounds{}, 1, time.Now())
-	later.book.All(core.Adopt)
+	later.book.ForEach(core.Adopt)
 	core.Round(time.Now(), 1)
 	if records := core.Changes(); len(records) != 0 {
 		t.Fatalf("an ended job was planned: %+v", records)
--- a/workload/service/round_stats.go
+++ b/workload/service/round_stats.go
@@ -45,7 +45,7 @@
 	if now.Sub(s.since) < roundStatsInterval {
 		return
 	}
-	log.Info(events.PlannerTempo, events.Fields{
+	log.Info(events.PlannerTimings, events.Fields{
 		"rounds": s.rounds.n, "round_ms": milliseconds(s.rounds.mean()), "round_most_ms": milliseconds(s.rounds.max),
 		"writes": s.writes.n, "write_ms": milliseconds(s.writes.mean()), "write_most_ms": milliseconds(s.writes.max),
 	})
--- a/workload/service/scale_test.go
+++ b/workload/service/scale_test.go
@@ -232,8 +232,8 @@
 		t.Run(fmt.Sprint(homeTopics), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := newSharedLog(poolReadRate)
-				writer := New(Settings{Instance: "a", AcceptHomes: homeTopics, Stale: time.Second}, log, poolDecoder{}, nil, nil, nil)
-				reader := New(Settings{Instance: "b", AcceptHomes: homeTopics, Stale: time.Second}, log, poolDecoder{}, nil, nil, nil)
+				writer := New(Settings{Instance: "a", AcceptTopics: homeTopics, StaleAfter: time.Second}, log, poolDecoder{}, nil, nil, nil)
+				reader := New(Settings{Instance: "b", AcceptTopics: homeTopics, StaleAfter: time.Second}, log, poolDecoder{}, nil, nil, nil)
 				ctx, cancel := context.WithCancel(context.Background())
 				var group sync.WaitGroup
 				group.Go(func() { writer.acceptances.run(ctx) })
--- a/workload/service/service.go
+++ b/workload/service/service.go
@@ -25,31 +25,31 @@
 	// Address is where other instances reach this one.
 	Address string
 	Bounds  control.Bounds
-	// Patience is how long a planner may be silent before it is succeeded.
-	Patience time.Duration
-	// Stale is the age of the last reads at which this instance stops answering from them.
-	Stale time.Duration
-	// Stretch is how much older than Stale one topic may be while the log serves others: a part
-	// of the log is then down, and nothing new can be written there either.
-	Stretch time.Duration
-	// Keep is how long a job's state is kept after its end; 0 keeps it forever.
-	Keep time.Duration
-	// Power is the relative capacity of the instance, in any unit that all instances share.
-	Power float64
+	// PlannerTimeout is how long a planner may be silent before it is succeeded.
+	PlannerTimeout time.Duration
+	// StaleAfter is the age of the last reads at which this instance stops answering from them.
+	StaleAfter time.Duration
+	// PartialOutageGrace is how much older than StaleAfter one topic may be while the log serves
+	// others: a part of the log is then down, and nothing new can be written there either.
+	PartialOutageGrace time.Duration
+	// Retention is how long a job's state is kept after its end; 0 keeps it forever.
+	Retention time.Duration
+	// EffectiveCores is the relative capacity of the instance, in any unit that all instances share.
+	EffectiveCores float64
 	// DataCentre is the data centre of the instance. Standbys are spread over the data centres.
 	DataCentre string
-	// AcceptHomes is the number of topics over which acceptances are distributed; 0 means one.
-	AcceptHomes int
+	// AcceptTopics is the number of topics over which acceptances are distributed; 0 means one.
+	AcceptTopics int
 	// Standbys is the number of instances that follow the planner's records; 0 means all.
 	Standbys int
 	// Hosts is the platform's service for maintenance; nil if there is none.
 	Hosts Hosts
 	// Clock measures ages; nil is the runtime's clock, which stops during a suspension.
 	Clock clock.Clock
-	// Woken is called after a suspension of this instance; nil is allowed.
-	Woken func()
-	// Peers receives the addresses of the other instances when they change.
-	Peers func([]string)
+	// OnResume is called after a suspension of this instance; nil is allowed.
+	OnResume func()
+	// OnPeersChanged receives the addresses of the other instances when they change.
+	OnPeersChanged func([]string)
 }
 
 // Service is the scheduling service of one instance. Create it with New, then call Run.
@@ -90,16 +90,16 @@
 func New(settings Settings, log Log, decoder Decoder, workers Workers, eventLog *events.Log, metrics *telemetry.Metrics) *Service {
 	metered := newMeter(log, metrics)
 	s := &Service{settings: settings, clock: settings.Clock, log: metered, meter: metered, decoder: decoder, workers: workers, events: eventLog, metrics: metrics, book: workload.NewBook(), waves: newMaintenanceWaves(), evacuations: newEvacuations(), reportedEnds: map[workload.JobID]bool{}, logRecovered: newBroadcast()}
-	s.succession = newSuccession(settings.Instance, newIncarnation(), settings.Patience, settings.Clock)
-	s.succession.authority = settings.Bounds.Authority
+	s.succession = newSuccession(settings.Instance, newIncarnation(), settings.PlannerTimeout, settings.Clock)
+	s.succession.authority = settings.Bounds.AuthorityPeriod
 	if settings.Address != "" {
 		// Until the rank is known, this instance claims after the others.
 		s.succession.setTurn(turnsPerTimeout)
 	}
-	s.standby = newStandby(standbyCount(settings), settings.Patience, s.clock.Now())
+	s.standby = newStandby(standbyCount(settings), settings.PlannerTimeout, s.clock.Now())
 	s.states = s.follow(States, s.applyStates, s.applyState, s.noPause)
 	s.states.interval = func() time.Duration { return statesReadInterval }
-	s.acceptances = newAcceptances(settings.AcceptHomes, metered, func(topic Topic) *follower {
+	s.acceptances = newAcceptances(settings.AcceptTopics, metered, func(topic Topic) *follower {
 		return s.follow(topic, s.applyJobRecords, s.applyJobRecord, s.readerPause)
 	})
 	s.plans = s.follow(Plans, s.applyPlans, s.applyPlan, s.plansPause)
@@ -251,7 +251,7 @@
 		s.events.Info(events.JobRepeated, events.Fields{"job": job.ID})
 		return nil
 	}
-	if err := job.Check(); err != nil {
+	if err := job.Validate(); err != nil {
 		return s.refuse(job.ID, err)
 	}
 	value, err := json.Marshal(job)
@@ -286,8 +286,8 @@
 	return string(text)
 }
 
-// NoteRefusal logs a request that was refused before it reached Submit.
-func (s *Service) NoteRefusal(id workload.JobID, err error) { _ = s.refuse(id, err) }
+// LogRefusal logs a request that was refused before it reached Submit.
+func (s *Service) LogRefusal(id workload.JobID, err error) { _ = s.refuse(id, err) }
 
 func (s *Service) refuse(id workload.JobID, err error) error {
 	refusal := domain.AsRefusal(err)
@@ -311,10 +311,10 @@
 
 // logErrorRefusal converts an error of the log into the refusal whose outcome the error proves.
 func logErrorRefusal(err error) error {
-	if errors.Is(err, ErrUnknown) || !errors.Is(err, ErrNotDone) {
+	if errors.Is(err, ErrOutcomeUnknown) || !errors.Is(err, ErrNotDone) {
 		return domain.OutcomeUnknown(domain.ReasonLogUnavailable, err.Error())
 	}
-	return domain.Refuse(domain.ReasonLogUnavailable, "", err.Error(), "come back later").After(time.Second)
+	return domain.Refuse(domain.ReasonLogUnavailable, "", err.Error(), "come back later").WithRetryAfter(time.Second)
 }
 
 func (s *Service) configurationVersion() int64 {
@@ -328,7 +328,7 @@
 // never submitted. A final state never changes and is returned however long ago it was read.
 func (s *Service) State(ctx context.Context, id workload.JobID) (workload.State, error) {
 	state, err := s.latestState(ctx, id)
-	if err == nil && state.Final() {
+	if err == nil && state.IsFinal() {
 		s.recordReportedEnd(id, state)
 	}
 	return state, err
@@ -348,23 +348,23 @@
 	s.reportedEnds[id] = true
 	s.reportedEndsMu.Unlock()
 	if !known {
-		s.events.Info(events.JobShown, events.Fields{"job": id, "state": string(state)})
+		s.events.Info(events.JobEndReported, events.Fields{"job": id, "state": string(state)})
 	}
 }
 
 func (s *Service) latestState(ctx context.Context, id workload.JobID) (workload.State, error) {
-	if e, known := s.book.Get(id); known && e.State.Final() {
-		return e.Shown(), nil
+	if e, known := s.book.Get(id); known && e.State.IsFinal() {
+		return e.VisibleState(), nil
 	}
 	s.refreshStates(ctx)
 	if err := s.CheckCurrent(); err != nil {
 		return "", err
 	}
 	e, err := s.findJob(ctx, id)
-	if err == nil && e.Shown() == workload.Running {
+	if err == nil && e.VisibleState() == workload.Running {
 		e = s.awaitEnd(ctx, id, e)
 	}
-	return e.Shown(), err
+	return e.VisibleState(), err
 }
 
 // findJob returns a job's entry. A job that is not known here may just have been accepted by
@@ -388,7 +388,7 @@
 	if err != nil {
 		return err
 	}
-	if e.Cancelled || e.State.Final() {
+	if e.Cancelled || e.State.IsFinal() {
 		return nil
 	}
 	record := control.Record{Key: workload.CancelledKey(id), Value: []byte("{}")}
--- a/workload/service/snapshot_retry_test.go
+++ b/workload/service/snapshot_retry_test.go
@@ -31,7 +31,7 @@
 	l.reads++
 	sleep(ctx, roundTrip)
 	if time.Now().Before(l.until) {
-		return Page{}, ErrForgotten
+		return Page{}, ErrCompacted
 	}
 	sleep(ctx, wait)
 	return Page{Next: from, End: from}, nil
--- a/workload/service/standby.go
+++ b/workload/service/standby.go
@@ -111,7 +111,7 @@
 // the while, showed no heartbeat, the silence counts from the last one.
 func (s *Service) plannerSilentSince(now time.Time) time.Time {
 	start := s.standby.silenceStart()
-	if s.states.connected() && now.Sub(start) > activateAfter*s.settings.Patience {
+	if s.states.connected() && now.Sub(start) > activateAfter*s.settings.PlannerTimeout {
 		return start
 	}
 	return now
@@ -138,8 +138,8 @@
 		case !needed && stop != nil && s.roleMu.TryLock():
 			stop()
 			stop = nil
-			s.book.Shed()
-			s.events.Info(events.BookShed, events.Fields{})
+			s.book.DropDetails()
+			s.events.Info(events.DetailsDropped, events.Fields{})
 			s.roleMu.Unlock()
 		}
 		sleep(ctx, standbyInterval)
--- a/workload/service/standby_test.go
+++ b/workload/service/standby_test.go
@@ -73,14 +73,14 @@
 func TestStandbysAreSpreadOverDataCentres(t *testing.T) {
 	all := map[string]member{}
 	for i := range 15 {
-		all[fmt.Sprintf("strong-%02d", i)] = member{Power: 0.8, DataCentre: fmt.Sprint(i / 3)}
+		all[fmt.Sprintf("strong-%02d", i)] = member{EffectiveCores: 0.8, DataCentre: fmt.Sprint(i / 3)}
 	}
 	for i := range 100 {
-		all[fmt.Sprintf("a-weak-%02d", i)] = member{Power: 0.2, DataCentre: fmt.Sprint(i % 5)}
+		all[fmt.Sprintf("a-weak-%02d", i)] = member{EffectiveCores: 0.2, DataCentre: fmt.Sprint(i % 5)}
 	}
 	seen := map[string]bool{}
 	for _, name := range orderCandidates(all)[:5] {
-		if all[name].Power < 0.8 {
+		if all[name].EffectiveCores < 0.8 {
 			t.Fatalf("%s is a standby before more powerful instances", name)
 		}
 		seen[all[name].DataCentre] = true
@@ -96,7 +96,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := map[string]member{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "instances") {
-			all[fmt.Sprint(i)] = member{Power: float64(rapid.IntRange(1, 3).Draw(t, "power")), DataCentre: fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "centre"))}
+			all[fmt.Sprint(i)] = member{EffectiveCores: float64(rapid.IntRange(1, 3).Draw(t, "power")), DataCentre: fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "centre"))}
 		}
 		ranks := map[int]bool{}
 		for name := range all {
@@ -120,10 +120,10 @@
 func TestCallsAreForwardedToInstancesOfSimilarPower(t *testing.T) {
 	all := map[string]member{}
 	for i := range 5 {
-		all[fmt.Sprintf("strong-%d", i)] = member{Address: fmt.Sprintf("strong-%d", i), Power: 0.8}
+		all[fmt.Sprintf("strong-%d", i)] = member{Address: fmt.Sprintf("strong-%d", i), EffectiveCores: 0.8}
 	}
 	for i := range 40 {
-		all[fmt.Sprintf("weak-%02d", i)] = member{Address: fmt.Sprintf("weak-%02d", i), Power: 0.2}
+		all[fmt.Sprintf("weak-%02d", i)] = member{Address: fmt.Sprintf("weak-%02d", i), EffectiveCores: 0.2}
 	}
 	peersOf := func(name string) (out []string) {
 		m := &members{self: name, own: all[name], others: map[string]member{}, changed: func(others []string, _ int) { out = others }}
--- a/workload/service/states.go
+++ b/workload/service/states.go
@@ -96,7 +96,7 @@
 		if !known {
 			return e
 		}
-		if e = latest; e.State.Final() {
+		if e = latest; e.State.IsFinal() {
 			return e
 		}
 	}
@@ -105,7 +105,7 @@
 
 // publishStates publishes changed states until ctx ends or a later planner has written.
 func (p *planner) publishStates(ctx context.Context) {
-	writer := Writer{Epoch: p.token, Seq: p.s.succession.firstSeq() + 1, Expect: -1}
+	writer := Writer{Epoch: p.token, Seq: p.s.succession.firstSeq() + 1, ExpectedEnd: -1}
 	published := time.Time{}
 	heartbeat := statesHeartbeat{Holder: p.s.settings.Instance, Token: p.token}
 	for ctx.Err() == nil {
@@ -114,9 +114,9 @@
 		// Read before the states are collected: acceptances that are applied later are not
 		// covered.
 		offsets := p.s.acceptances.offsets()
-		states, all := p.s.book.Unstated(maxStatesBatch)
+		states, all := p.s.book.UnpublishedStatuses(maxStatesBatch)
 		dropped := p.takeDroppedStates()
-		if len(states)+len(dropped) == 0 && p.s.clock.Since(published) < p.s.settings.Patience/4 {
+		if len(states)+len(dropped) == 0 && p.s.clock.Since(published) < p.s.settings.PlannerTimeout/4 {
 			continue
 		}
 		if all {
@@ -150,7 +150,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, id := range ids {
-		p.droppedStates = append(p.droppedStates, control.Record{Key: workload.StatedKey(id)})
+		p.droppedStates = append(p.droppedStates, control.Record{Key: workload.StatusKey(id)})
 	}
 }
 
@@ -166,7 +166,7 @@
 func stateRecords(states map[workload.JobID][]byte, heartbeat statesHeartbeat) []control.Record {
 	records := make([]control.Record, 0, len(states)+1)
 	for id, value := range states {
-		records = append(records, control.Record{Key: workload.StatedKey(id), Value: value})
+		records = append(records, control.Record{Key: workload.StatusKey(id), Value: value})
 	}
 	value, err := json.Marshal(heartbeat)
 	if err != nil {
--- a/workload/service/succession.go
+++ b/workload/service/succession.go
@@ -214,7 +214,7 @@
 func (s *succession) claim(ctx context.Context, log Log, end int64) (int64, error) {
 	token := end + 1
 	sent := s.clock.Now()
-	_, err := log.Append(ctx, Plans, []control.Record{s.self.record()}, &Writer{Epoch: token, Seq: s.firstSeq(), Expect: end})
+	_, err := log.Append(ctx, Plans, []control.Record{s.self.record()}, &Writer{Epoch: token, Seq: s.firstSeq(), ExpectedEnd: end})
 	if err != nil {
 		return 0, err
 	}
@@ -241,4 +241,4 @@
 }
 
 // isFenced reports whether an error means that another planner has written.
-func isFenced(err error) bool { return errors.Is(err, ErrFenced) || errors.Is(err, ErrMoved) }
+func isFenced(err error) bool { return errors.Is(err, ErrFenced) || errors.Is(err, ErrUnexpectedEnd) }
--- a/workload/service/succession_test.go
+++ b/workload/service/succession_test.go
@@ -22,8 +22,8 @@
 func (m *memoryLog) Append(_ context.Context, _ Topic, records []control.Record, w *Writer) (int64, error) {
 	end := int64(len(m.records))
 	if w != nil {
-		if w.Expect >= 0 && w.Expect != end {
-			return 0, ErrMoved
+		if w.ExpectedEnd >= 0 && w.ExpectedEnd != end {
+			return 0, ErrUnexpectedEnd
 		}
 		if first, repeated := m.appends[w.Seq]; repeated && w.Epoch == m.epoch {
 			return first, nil
@@ -157,7 +157,7 @@
 // Guards against weak instances that take the role before more powerful ones.
 func TestMorePowerfulInstancesClaimFirst(t *testing.T) {
 	rank := -1
-	m := &members{self: "b", own: member{Power: 0.4}, others: map[string]member{}, changed: func(_ []string, r int) { rank = r }}
+	m := &members{self: "b", own: member{EffectiveCores: 0.4}, others: map[string]member{}, changed: func(_ []string, r int) { rank = r }}
 	for name, power := range map[string]string{"a": "0.2", "c": "0.8", "d": "0.8", "e": "0.1"} {
 		m.apply(Entry{Key: name, Value: []byte(`{"address":"x","power":` + power + `}`)})
 	}
--- a/workload/service/suspension.go
+++ b/workload/service/suspension.go
@@ -18,7 +18,7 @@
 
 // watchSuspensions detects suspensions of this instance: the clock of ages advances during one
 // and the runtime's clock does not. What was read before is then old by its age, but open
-// connections may be dead without any sign; Settings.Woken closes them.
+// connections may be dead without any sign; Settings.OnResume closes them.
 func (s *Service) watchSuspensions(ctx context.Context) {
 	if s.clock == nil {
 		return
@@ -33,8 +33,8 @@
 		}
 		s.events.Info(events.Suspended, events.Fields{"for_ms": suspended.Milliseconds(), "planning": s.planning.Load()})
 		s.metrics.Observe(telemetry.Suspension, suspended)
-		if s.settings.Woken != nil {
-			s.settings.Woken()
+		if s.settings.OnResume != nil {
+			s.settings.OnResume()
 		}
 	}
 }
--- a/workload/service/suspension_test.go
+++ b/workload/service/suspension_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	p.workers.onOrder = func(order int64) {
-		token := control.Claim(order)
+		token := control.ClaimToken(order)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.orders++
--- a/workload/service/term_test.go
+++ b/workload/service/term_test.go
@@ -50,11 +50,11 @@
 	l.claimMu.Lock()
 	onClaim, blocked := l.onClaim, l.blocked
 	l.claimMu.Unlock()
-	if blocked && writer != nil && writer.Expect < 0 {
+	if blocked && writer != nil && writer.ExpectedEnd < 0 {
 		await(ctx, unansweredTimeout)
-		return 0, ErrUnknown
+		return 0, ErrOutcomeUnknown
 	}
-	if writer == nil || writer.Expect < 0 || onClaim == nil || !onClaim() {
+	if writer == nil || writer.ExpectedEnd < 0 || onClaim == nil || !onClaim() {
 		return l.sharedLog.Append(ctx, topic, records, writer)
 	}
 	lateWriter := *writer
@@ -62,7 +62,7 @@
 		time.Sleep(lateClaimDelay)
 		_, _ = l.sharedLog.Append(context.Background(), topic, records, &lateWriter)
 	})
-	return 0, ErrUnknown
+	return 0, ErrOutcomeUnknown
 }
 
 // lateClaimDelay is how long after its call an unanswered claim is carried out.
@@ -212,19 +212,19 @@
 	b := workload.NewBook()
 	for _, record := range []struct{ key, value string }{
 		{workload.AcceptedKey("a"), `{"id":"a","queue":"q"}`},
-		{workload.StatedKey("a"), `{"q":"q","s":"running","b":true}`},
+		{workload.StatusKey("a"), `{"q":"q","s":"running","b":true}`},
 	} {
 		if err := b.Fold(0, record.key, []byte(record.value)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if b.Complete() {
+	if b.IsComplete() {
 		t.Fatal("the book is complete without the progress of a started job")
 	}
 	if err := b.Fold(1, workload.ProgressKey("a"), []byte(`{"state":"running","begun":true}`)); err != nil {
 		t.Fatal(err)
 	}
-	if !b.Complete() {
+	if !b.IsComplete() {
 		t.Fatal("the book is not complete although it has all progress")
 	}
 }
@@ -237,12 +237,12 @@
 		{workload.AcceptedKey("a"), "{"},
 		{workload.ProgressKey("a"), `{"state":"running","begun":true}`},
 		{workload.AcceptedKey("b"), `{"id":"b","queue":"q"}`},
-		{workload.StatedKey("b"), `{"q":"q","s":"running","b":true}`},
+		{workload.StatusKey("b"), `{"q":"q","s":"running","b":true}`},
 		{workload.ProgressKey("b"), "["},
 	} {
 		_ = b.Fold(int64(offset), record.key, []byte(record.value))
 	}
-	if !b.Complete() {
+	if !b.IsComplete() {
 		t.Fatal("the book waits for records that were read and can't be decoded")
 	}
 }
@@ -261,7 +261,7 @@
 		for !instance.planning.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if age := instance.states.age(time.Now()); age > instance.settings.Stale {
+		if age := instance.states.age(time.Now()); age > instance.settings.StaleAfter {
 			t.Fatalf("the states were read %v ago", age)
 		}
 		if err := instance.CheckCurrent(); err != nil {
--- a/workload/service/worker_list_test.go
+++ b/workload/service/worker_list_test.go
@@ -28,15 +28,15 @@
 	}
 	p.applyList(entries)
 	p.syncWorkers()
-	p.core.Notes()
+	p.core.Events()
 	return p, entries
 }
 
 // countUnlisted counts the workers that the core has noted as unlisted.
 func countUnlisted(p *planner) int {
 	n := 0
-	for _, note := range p.core.Notes() {
-		if note.Event == control.EventWorkerUnlisted {
+	for _, note := range p.core.Events() {
+		if note.Name == control.EventWorkerUnlisted {
 			n++
 		}
 	}
--- a/workload/service/world_test.go
+++ b/workload/service/world_test.go
@@ -77,8 +77,8 @@
 )
 
 var worldBounds = control.Bounds{
-	Lease: 6 * time.Second, Authority: 6 * time.Second, StopTimeout: 200 * time.Millisecond, GangTimeout: 3 * time.Second,
-	ReclaimWithin: 2700 * time.Millisecond, FarFactor: 3, Restore: 100 * time.Millisecond, Wait: time.Second,
+	Lease: 6 * time.Second, AuthorityPeriod: 6 * time.Second, StopTimeout: 200 * time.Millisecond, GangTimeout: 3 * time.Second,
+	ReclaimWithin: 2700 * time.Millisecond, RemoteFactor: 3, RestoreCost: 100 * time.Millisecond, PollWait: time.Second,
 }
 
 func newWorld(t *testing.T, seed int64) *world {
@@ -90,8 +90,8 @@
 	}
 	w.pool = &pool{t: t, log: newSharedLog(poolReadRate), workers: &poolWorkers{}}
 	w.workers.fleet = &workertest.Fleet{
-		Limits: workertest.Limits{HoldMax: worldBounds.Lease, StopTimeout: worldBounds.StopTimeout, GangTimeout: worldBounds.GangTimeout, CheckpointEvery: time.Second, Restore: worldBounds.Restore},
-		Step:   w.step, Work: w.work, Seen: w.observe,
+		Limits: workertest.Limits{MaxLease: worldBounds.Lease, StopTimeout: worldBounds.StopTimeout, GangTimeout: worldBounds.GangTimeout, CheckpointEvery: time.Second, Restore: worldBounds.RestoreCost},
+		Step:   w.step, Work: w.work, OnEvent: w.observe,
 	}
 	capacity := workload.Resources{MilliCPU: 32000, MemoryMiB: 64000, Accelerators: 8}
 	for i := range worldWorkerCount {
@@ -143,8 +143,8 @@
 	defer w.mu.Unlock()
 	w.logs = append(w.logs, eventLog)
 	w.startInstance(Settings{
-		Instance: name, Address: name, Bounds: worldBounds, Patience: time.Second, Stale: 2 * time.Second, Stretch: 5 * time.Second,
-		Power: 0.4, DataCentre: centre, Standbys: w.standbys,
+		Instance: name, Address: name, Bounds: worldBounds, PlannerTimeout: time.Second, StaleAfter: 2 * time.Second, PartialOutageGrace: 5 * time.Second,
+		EffectiveCores: 0.4, DataCentre: centre, Standbys: w.standbys,
 	}, &worldLog{w, name, centre}, &worldWorkers{w, centre}, eventLog)
 }
 
@@ -222,9 +222,9 @@
 
 // observe checks an event of a worker.
 func (w *world) observe(e workertest.Event) {
-	if e.How != "" {
+	if e.End != "" {
 		delete(w.running[e.Task], e.Worker)
-		if e.How == control.EndDone {
+		if e.End == control.EndDone {
 			w.ended[e.Task] = e.Run
 		}
 		return
@@ -248,7 +248,7 @@
 // recordAcknowledged records the tasks that are done whose ends were acknowledged to a worker.
 func (w *world) recordAcknowledged(worker *workertest.Worker, rows []control.EndedRow, cursor int64) {
 	for _, row := range rows {
-		if row.Number > max(cursor, worker.Acked()) || row.How != control.EndDone || row.Number <= worker.Void() {
+		if row.Number > max(cursor, worker.AcknowledgedEnd()) || row.End != control.EndDone || row.Number <= worker.LastVoidEnd() {
 			continue
 		}
 		step, ok := w.step(row.Task)
@@ -281,7 +281,7 @@
 	}
 	terms := poolTerms
 	terms.Priority = w.rng.Intn(3)
-	job := &workload.Job{ID: id, Queue: "q", Spec: "s", Steps: steps, AcceptedMS: time.Now().UnixMilli(), Terms: terms}
+	job := &workload.Job{ID: id, Queue: "q", Spec: "s", Steps: steps, AcceptedMS: time.Now().UnixMilli(), QueueSettings: terms}
 	w.workers.mu.Lock()
 	w.steps[id] = steps
 	w.workers.mu.Unlock()
@@ -393,7 +393,7 @@
 // hasEnded reports whether some instance shows a job as ended.
 func (w *world) hasEnded(id workload.JobID) bool {
 	for _, instance := range w.liveInstances() {
-		if e, ok := instance.book.Get(id); ok && e.State.Final() {
+		if e, ok := instance.book.Get(id); ok && e.State.IsFinal() {
 			return true
 		}
 	}
--- a/workload/service/world_transport_test.go
+++ b/workload/service/world_transport_test.go
@@ -32,7 +32,7 @@
 	switch {
 	case l.w.isActive(l.w.cutOff, l.centre), l.w.isActive(l.w.unanswered, l.instance):
 		await(ctx, unansweredTimeout)
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	case l.w.isActive(l.w.refused, l.instance), l.w.isActive(l.w.down, ""):
 		sleep(ctx, callLatency)
 		return ErrNotDone
@@ -50,7 +50,7 @@
 		first, err := l.w.log.Append(ctx, topic, records, writer)
 		if afterErr := l.checkReachable(ctx); afterErr != nil {
 			// The answer is lost.
-			return 0, ErrUnknown
+			return 0, ErrOutcomeUnknown
 		}
 		return first, err
 	}
@@ -64,7 +64,7 @@
 		_, _ = l.w.log.Append(context.Background(), topic, records, lateWriter)
 	})
 	await(ctx, unansweredTimeout)
-	return 0, ErrUnknown
+	return 0, ErrOutcomeUnknown
 }
 
 // Read implements Log.
@@ -74,7 +74,7 @@
 	}
 	page, err := l.w.log.Read(ctx, topic, from, wait)
 	if l.checkReachable(ctx) != nil {
-		return Page{}, ErrUnknown
+		return Page{}, ErrOutcomeUnknown
 	}
 	return page, err
 }
@@ -94,7 +94,7 @@
 	}
 	page, err := l.w.log.Newest(ctx, topic, after)
 	if l.checkReachable(ctx) != nil {
-		return NewestPage{}, ErrUnknown
+		return NewestPage{}, ErrOutcomeUnknown
 	}
 	return page, err
 }
@@ -127,7 +127,7 @@
 func (h *worldWorkers) Start(ctx context.Context, o control.StartOrder) control.Answer {
 	out := control.Answer{}
 	if !h.deliver(ctx, o.Worker, func(worker *workertest.Worker) { out = worker.Start(o, time.Now()) }) {
-		return control.Answer{Verdict: control.Unanswered}
+		return control.Answer{Result: control.Unanswered}
 	}
 	return out
 }
@@ -136,24 +136,24 @@
 func (h *worldWorkers) Stop(ctx context.Context, o control.StopOrder) control.Answer {
 	out := control.Answer{}
 	if !h.deliver(ctx, o.Worker, func(worker *workertest.Worker) { out = worker.Stop(o, time.Now()) }) {
-		return control.Answer{Verdict: control.Unanswered}
+		return control.Answer{Result: control.Unanswered}
 	}
 	return out
 }
 
-// Hold implements Workers.
-func (h *worldWorkers) Hold(ctx context.Context, o control.HoldOrder) control.HoldAnswer {
-	out := control.HoldAnswer{}
+// Renew implements Workers.
+func (h *worldWorkers) Renew(ctx context.Context, o control.RenewalOrder) control.RenewalAnswer {
+	out := control.RenewalAnswer{}
 	for until := time.Now().Add(o.Wait); ; sleep(ctx, 50*time.Millisecond) {
 		hasEnds := false
 		answered := h.deliver(ctx, o.Worker, func(worker *workertest.Worker) {
 			before := worker.Ended()
-			out = worker.Hold(o, time.Now())
+			out = worker.Renew(o, time.Now())
 			hasEnds = len(out.Ended) > 0
-			h.w.recordAcknowledged(worker, before, o.Cursor)
+			h.w.recordAcknowledged(worker, before, o.AcknowledgedEnd)
 		})
 		if !answered || ctx.Err() != nil {
-			return control.HoldAnswer{Verdict: control.Unanswered}
+			return control.RenewalAnswer{Result: control.Unanswered}
 		}
 		if hasEnds || !time.Now().Before(until) {
 			return out
@@ -161,8 +161,8 @@
 	}
 }
 
-// Pace implements Workers.
-func (h *worldWorkers) Pace(context.Context, control.PaceOrder) control.Answer {
+// Throttle implements Workers.
+func (h *worldWorkers) Throttle(context.Context, control.ThrottleOrder) control.Answer {
 	return control.Answer{}
 }
 
--- a/workload/status.go
+++ b/workload/status.go
@@ -9,14 +9,14 @@
 
 const statusPrefix = "s/"
 
-// StatedKey returns the key of the status that a planner publishes for a job.
-func StatedKey(id JobID) string { return statusPrefix + string(id) }
+// StatusKey returns the key of the status that a planner publishes for a job.
+func StatusKey(id JobID) string { return statusPrefix + string(id) }
 
 // Status is the summary of a job that a planner publishes for all instances.
 type Status struct {
-	Queue string `json:"q"`
-	State State  `json:"s"`
-	Begun bool   `json:"b,omitempty"`
+	Queue   string `json:"q"`
+	State   State  `json:"s"`
+	Started bool   `json:"b,omitempty"`
 	// EndedMS is when the job ended; 0 before.
 	EndedMS int64 `json:"e,omitempty"`
 }
@@ -24,7 +24,7 @@
 // rank orders states: a job never goes back to a lower rank.
 func (s State) rank() int {
 	switch {
-	case s.Final():
+	case s.IsFinal():
 		return 2
 	case s == Running:
 		return 1
@@ -33,7 +33,7 @@
 }
 
 // status returns the status to be published for a job.
-func (e *Entry) status() Status { return Status{e.Queue, e.State, e.Begun, e.EndedMS} }
+func (e *Entry) status() Status { return Status{e.Queue, e.State, e.Started, e.EndedMS} }
 
 // foldStatus applies a published status. A status only adds to what is known: one that is read
 // late, or that an earlier planner wrote, does not undo anything.
@@ -48,7 +48,7 @@
 		if e.Queue == "" {
 			e.Queue = status.Queue
 		}
-		e.advance(status.State, status.Begun, status.EndedMS)
+		e.advance(status.State, status.Started, status.EndedMS)
 	})
 	return nil
 }
@@ -59,13 +59,13 @@
 	if state.rank() > e.State.rank() {
 		e.State = state
 	}
-	e.Begun = e.Begun || begun
+	e.Started = e.Started || begun
 	e.EndedMS = max(e.EndedMS, endedMS)
 }
 
-// Unstated returns the statuses that differ from the published ones, up to limit; all reports that
-// there are no more.
-func (b *Book) Unstated(limit int) (out map[JobID][]byte, all bool) {
+// UnpublishedStatuses returns the statuses that differ from the published ones, up to limit; all
+// reports that there are no more.
+func (b *Book) UnpublishedStatuses(limit int) (out map[JobID][]byte, all bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out = map[JobID][]byte{}
@@ -81,9 +81,9 @@
 	return out, true
 }
 
-// Shed drops acceptances and progress, which the instance no longer reads, and keeps what callers
-// see.
-func (b *Book) Shed() {
+// DropDetails drops acceptances and progress, which the instance no longer reads, and keeps what
+// callers see.
+func (b *Book) DropDetails() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, e := range b.entries {
--- a/workload/status_test.go
+++ b/workload/status_test.go
@@ -28,15 +28,15 @@
 	accepted = []logRecord{{at, AcceptedKey(id), []byte(`{"id":"` + string(id) + `","queue":"q"}`)}}
 	steps := []Status{{Queue: "q", State: Queued}}
 	if rapid.Bool().Draw(t, "starts") {
-		steps = append(steps, Status{Queue: "q", State: Running, Begun: true})
+		steps = append(steps, Status{Queue: "q", State: Running, Started: true})
 	}
 	if end := rapid.SampledFrom([]State{"", Completed, Failed, Cancelled}).Draw(t, "end"); end != "" {
-		steps = append(steps, Status{Queue: "q", State: end, Begun: len(steps) > 1, EndedMS: 1000})
+		steps = append(steps, Status{Queue: "q", State: end, Started: len(steps) > 1, EndedMS: 1000})
 	}
 	for i, s := range steps {
 		value, _ := json.Marshal(s)
-		stated = append(stated, logRecord{at + int64(i), StatedKey(id), value})
-		value, _ = json.Marshal(Progress{State: s.State, Begun: s.Begun, EndedMS: s.EndedMS})
+		stated = append(stated, logRecord{at + int64(i), StatusKey(id), value})
+		value, _ = json.Marshal(Progress{State: s.State, Started: s.Started, EndedMS: s.EndedMS})
 		progress = append(progress, logRecord{at + int64(i), ProgressKey(id), value})
 	}
 	return accepted, progress, stated
@@ -63,8 +63,8 @@
 		for _, id := range []JobID{"a", "b", "c", "d"} {
 			x, _ := full.Get(id)
 			y, known := statuses.Get(id)
-			if !known || x.Shown() != y.Shown() || x.Begun != y.Begun {
-				t.Fatalf("job %s: by its progress %s, started %t; by its status %s, started %t", id, x.Shown(), x.Begun, y.Shown(), y.Begun)
+			if !known || x.VisibleState() != y.VisibleState() || x.Started != y.Started {
+				t.Fatalf("job %s: by its progress %s, started %t; by its status %s, started %t", id, x.VisibleState(), x.Started, y.VisibleState(), y.Started)
 			}
 		}
 		if full.Pending("q") != statuses.Pending("q") {
@@ -101,26 +101,26 @@
 	b := NewBook()
 	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
 	fold(t, b, 1, AcceptedKey("b"), acceptance(t, "b", "q"))
-	if _, all := b.Unstated(1); all {
+	if _, all := b.UnpublishedStatuses(1); all {
 		t.Fatal("one of two statuses is reported to be all")
 	}
-	statuses, all := b.Unstated(10)
+	statuses, all := b.UnpublishedStatuses(10)
 	if len(statuses) != 2 || !all {
 		t.Fatalf("statuses %v, all %t", statuses, all)
 	}
 	for id, value := range statuses {
-		fold(t, b, 2, StatedKey(id), value)
+		fold(t, b, 2, StatusKey(id), value)
 	}
-	if statuses, _ = b.Unstated(10); len(statuses) != 0 {
+	if statuses, _ = b.UnpublishedStatuses(10); len(statuses) != 0 {
 		t.Fatalf("published statuses are still listed: %v", statuses)
 	}
 	fold(t, b, 3, ProgressKey("a"), []byte(`{"state":"running","begun":true}`))
-	if statuses, _ = b.Unstated(10); len(statuses) != 1 {
+	if statuses, _ = b.UnpublishedStatuses(10); len(statuses) != 1 {
 		t.Fatalf("the changed status of a started job is not listed: %v", statuses)
 	}
 	// An outdated status does not take the job off the list.
-	fold(t, b, 4, StatedKey("a"), statusRecord(t, Status{Queue: "q", State: Queued}))
-	if statuses, _ = b.Unstated(10); len(statuses) != 1 {
+	fold(t, b, 4, StatusKey("a"), statusRecord(t, Status{Queue: "q", State: Queued}))
+	if statuses, _ = b.UnpublishedStatuses(10); len(statuses) != 1 {
 		t.Fatal("an outdated status counts as published")
 	}
 }
@@ -132,24 +132,24 @@
 	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
 	fold(t, b, 1, ProgressKey("a"), []byte(`{"state":"running","begun":true}`))
 	fold(t, b, 1, ProgressKey("unknown"), []byte(`{"state":"running","begun":true}`))
-	b.Shed()
+	b.DropDetails()
 	e, known := b.Get("a")
-	if !known || e.Shown() != Running || e.Job != nil || len(e.Progress) > 0 {
+	if !known || e.VisibleState() != Running || e.Job != nil || len(e.Progress) > 0 {
 		t.Fatalf("entry %+v, known %t", e, known)
 	}
-	b.All(func(id JobID, _ Entry) { t.Fatalf("a planner would take over job %s", id) })
+	b.ForEach(func(id JobID, _ Entry) { t.Fatalf("a planner would take over job %s", id) })
 	for id, e := range b.entries {
 		if len(e.Progress) > 0 {
 			t.Fatalf("progress of job %s is left after shedding", id)
 		}
 	}
-	if b.Complete() {
+	if b.IsComplete() {
 		t.Fatal("a book without the progress of a started job is complete")
 	}
 	// The topics are read again from the start, at the same offsets.
 	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
 	fold(t, b, 1, ProgressKey("a"), []byte(`{"state":"running","begun":true}`))
-	if !b.Complete() {
+	if !b.IsComplete() {
 		t.Fatal("a book is not complete after reading again")
 	}
 	if e, _ := b.Get("a"); e.Job == nil || len(e.Progress) == 0 {
@@ -160,14 +160,14 @@
 // Deleting a job's status forgets the job if nothing else is known of it.
 func TestDroppedStatusForgetsTheJob(t *testing.T) {
 	b := NewBook()
-	fold(t, b, 0, StatedKey("a"), statusRecord(t, Status{Queue: "q", State: Completed, EndedMS: 1}))
-	fold(t, b, 1, StatedKey("a"), nil)
+	fold(t, b, 0, StatusKey("a"), statusRecord(t, Status{Queue: "q", State: Completed, EndedMS: 1}))
+	fold(t, b, 1, StatusKey("a"), nil)
 	if _, known := b.Get("a"); known || len(b.entries) != 0 {
 		t.Fatal("the job is still known")
 	}
 	fold(t, b, 2, AcceptedKey("b"), acceptance(t, "b", "q"))
 	fold(t, b, 3, ProgressKey("b"), []byte(`{"state":"running","begun":true}`))
-	fold(t, b, 4, StatedKey("b"), nil)
+	fold(t, b, 4, StatusKey("b"), nil)
 	if _, known := b.Get("b"); !known {
 		t.Fatal("a job whose progress is left is forgotten")
 	}
@@ -179,13 +179,13 @@
 	b := NewBook()
 	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
 	fold(t, b, 1, ProgressKey("a"), []byte(`{"state":"running","begun":true}`))
-	fold(t, b, 2, StatedKey("a"), statusRecord(t, Status{Queue: "q", State: Running, Begun: true}))
-	fold(t, b, 3, StatedKey("a"), nil)
-	b.Shed()
-	if _, known := b.Get("a"); known || !b.Complete() || b.Pending("q") != 0 {
-		t.Fatalf("known %t, complete %t, %d pending", known, b.Complete(), b.Pending("q"))
+	fold(t, b, 2, StatusKey("a"), statusRecord(t, Status{Queue: "q", State: Running, Started: true}))
+	fold(t, b, 3, StatusKey("a"), nil)
+	b.DropDetails()
+	if _, known := b.Get("a"); known || !b.IsComplete() || b.Pending("q") != 0 {
+		t.Fatalf("known %t, complete %t, %d pending", known, b.IsComplete(), b.Pending("q"))
 	}
-	if _, all := b.Unstated(10); !all {
+	if _, all := b.UnpublishedStatuses(10); !all {
 		t.Fatal("statuses of forgotten jobs are left")
 	}
 }
--- a/workload/unreadable_test.go
+++ b/workload/unreadable_test.go
@@ -6,14 +6,14 @@
 func TestUnreadableRecordCountsOnlyUntilItIsReplaced(t *testing.T) {
 	b := NewBook()
 	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
-	fold(t, b, 0, StatedKey("a"), []byte(`{"q":"q","s":"running","b":true}`))
+	fold(t, b, 0, StatusKey("a"), []byte(`{"q":"q","s":"running","b":true}`))
 	if b.Fold(1, ProgressKey("a"), []byte("[")) == nil {
 		t.Fatal("the record was readable")
 	}
 	fold(t, b, 2, ProgressKey("a"), []byte(`{"state":"running","begun":true}`))
-	b.Shed()
+	b.DropDetails()
 	fold(t, b, 0, AcceptedKey("a"), acceptance(t, "a", "q"))
-	if b.Complete() {
+	if b.IsComplete() {
 		t.Fatal("the book is complete without the progress of a started job whose newest record is readable")
 	}
 }
@@ -27,8 +27,8 @@
 	if b.Fold(2, ProgressKey("a"), []byte("[")) == nil {
 		t.Fatal("the record was readable")
 	}
-	b.All(func(id JobID, e Entry) {
-		if e.Unreadable() && len(e.Progress) > 0 {
+	b.ForEach(func(id JobID, e Entry) {
+		if e.IsUnreadable() && len(e.Progress) > 0 {
 			t.Errorf("job %s is handed to a planner with outdated progress", id)
 		}
 	})
--- a/workload/workertest/advance.go
+++ b/workload/workertest/advance.go
@@ -80,10 +80,10 @@
 	case !r.stopAt.IsZero() && !now.Before(r.stopAt):
 		w.end(r, control.EndStopped, now)
 	case !r.gangDeadline.IsZero() && r.workingSince.IsZero() && !now.Before(r.gangDeadline):
-		w.end(r, control.EndAlone, now)
+		w.end(r, control.EndGangIncomplete, now)
 	case r.crashDue(now):
 		w.fleet.crashWorker(w, r, now)
-	case r.workingSince.IsZero() || r.work.Hang || r.step.Perpetual:
+	case r.workingSince.IsZero() || r.work.Hangs || r.step.Perpetual:
 	case !r.finishedWork(now):
 	case r.work.Fails:
 		w.end(r, control.EndFailed, now)
@@ -95,7 +95,7 @@
 // finishedWork reports whether a run has done its own work; a gang's member then waits for the
 // others.
 func (r *run) finishedWork(now time.Time) bool {
-	return !r.work.Hang && r.progress(now) >= r.work.Takes
+	return !r.work.Hangs && r.progress(now) >= r.work.Takes
 }
 
 // gangFinishedWork reports whether all members of a run's gang have done their work.
@@ -115,8 +115,8 @@
 // crashWorker kills a worker that a run has crashed and calls the callback.
 func (f *Fleet) crashWorker(w *Worker, by *run, now time.Time) {
 	f.Kill(w.ID, now)
-	if f.Crashed != nil {
-		f.Crashed(w.ID, by.id, now)
+	if f.OnCrash != nil {
+		f.OnCrash(w.ID, by.id, now)
 	}
 }
 
@@ -138,14 +138,14 @@
 // end lists a run's end and applies it to the other members of its gang.
 func (w *Worker) end(r *run, how control.End, now time.Time) {
 	w.lastEnd++
-	w.ended = append(w.ended, control.EndedRow{Number: w.lastEnd, Task: r.id, Run: r.run, How: how, Saved: r.saved})
+	w.ended = append(w.ended, control.EndedRow{Number: w.lastEnd, Task: r.id, Run: r.run, End: how, Checkpoint: r.saved})
 	w.remove(r, how, now)
 }
 
 func (w *Worker) remove(r *run, how control.End, now time.Time) {
 	delete(w.runs, r.id)
 	w.lastBarredRun[r.id] = max(w.lastBarredRun[r.id], r.run)
-	w.emit(Event{At: now, Worker: w.ID, Task: r.id, Run: r.run, How: how, Saved: r.saved})
+	w.emit(Event{At: now, Worker: w.ID, Task: r.id, Run: r.run, End: how, Checkpoint: r.saved})
 	if !r.step.Gang {
 		return
 	}
@@ -168,7 +168,9 @@
 	}
 }
 
-func sameStep(a, b workload.TaskID) bool { return a.Job == b.Job && a.K == b.K && a.Step == b.Step }
+func sameStep(a, b workload.TaskID) bool {
+	return a.Job == b.Job && a.Occurrence == b.Occurrence && a.Step == b.Step
+}
 
 // startWork starts a run's work: at once, or for all members when its gang is complete.
 func (f *Fleet) startWork(r *run, now time.Time) {
--- a/workload/workertest/crash_test.go
+++ b/workload/workertest/crash_test.go
@@ -14,14 +14,14 @@
 	now := time.Unix(1000, 0)
 	seen := &[]Event{}
 	f := &Fleet{
-		Limits: Limits{HoldMax: time.Minute, StopTimeout: time.Second, GangTimeout: time.Second},
+		Limits: Limits{MaxLease: time.Minute, StopTimeout: time.Second, GangTimeout: time.Second},
 		Step: func(id workload.TaskID) (workload.Step, bool) {
 			return workload.Step{Count: 2, Gang: gang && id.Job != "c", Need: workload.Resources{Accelerators: 1}}, true
 		},
 		Work: func(id workload.TaskID, _ int64, _ string) Work {
 			return Work{Takes: 50 * time.Millisecond, Crashes: id.Job == "c", CrashAfter: 10 * time.Millisecond}
 		},
-		Seen: func(e Event) { *seen = append(*seen, e) },
+		OnEvent: func(e Event) { *seen = append(*seen, e) },
 	}
 	for _, id := range []string{"w1", "w2"} {
 		f.Add(id, workload.Resources{Accelerators: 8}, 1, now)
@@ -29,9 +29,9 @@
 	return f, seen, now
 }
 
-func startRun(f *Fleet, worker string, id workload.TaskID, now time.Time) control.Verdict {
+func startRun(f *Fleet, worker string, id workload.TaskID, now time.Time) control.Result {
 	w := f.Workers[worker]
-	return w.Start(control.StartOrder{Task: id, Run: 1, DeadlineMS: w.ClockMS(now) + 30_000}, now).Verdict
+	return w.Start(control.StartOrder{Task: id, Run: 1, DeadlineMS: w.ClockMS(now) + 30_000}, now).Result
 }
 
 // A start that arrives after its worker was due to crash must start nothing. A run that the
@@ -67,13 +67,13 @@
 			now = now.Add(100 * time.Millisecond)
 			f.Advance(now)
 			if c.acked {
-				f.Workers["w1"].Hold(control.HoldOrder{Cursor: 1}, now)
+				f.Workers["w1"].Renew(control.RenewalOrder{AcknowledgedEnd: 1}, now)
 			}
 			startRun(f, "w1", workload.TaskID{Job: "c"}, now)
 			f.Advance(now.Add(20 * time.Millisecond))
 			void := 0
 			for _, e := range *seen {
-				if e.How == EndVoid {
+				if e.End == EndVoid {
 					void++
 				}
 			}
--- a/workload/workertest/fleet.go
+++ b/workload/workertest/fleet.go
@@ -13,15 +13,15 @@
 
 // Limits are the time limits that workers apply.
 type Limits struct {
-	HoldMax, StopTimeout, GangTimeout, CheckpointEvery, Restore time.Duration
+	MaxLease, StopTimeout, GangTimeout, CheckpointEvery, Restore time.Duration
 }
 
-// Work describes how long a run takes on a healthy worker and how it ends. A run with Hang set
+// Work describes how long a run takes on a healthy worker and how it ends. A run with Hangs set
 // never ends, one with Fails set fails once its work is done.
 type Work struct {
 	Takes time.Duration
 	Fails bool
-	Hang  bool
+	Hangs bool
 	// TailMS is the undisturbed tail latency of a run that serves; DisturbsMS is what the run adds
 	// to the tail latency of others on its worker at full pace.
 	TailMS, DisturbsMS int
@@ -32,14 +32,14 @@
 
 // Event is the start or end of a run on a worker.
 type Event struct {
-	At     time.Time
-	Worker string
-	Task   workload.TaskID
-	Run    int64
-	Spec   string
-	Saved  string
-	// How is empty for a start.
-	How   control.End
+	At         time.Time
+	Worker     string
+	Task       workload.TaskID
+	Run        int64
+	Spec       string
+	Checkpoint string
+	// End is empty for a start.
+	End   control.End
 	Token int64
 }
 
@@ -53,10 +53,10 @@
 	// Speed is the current speed of a worker as a factor; nil means 1 for all. Each member of a
 	// gang has its own speed, and the gang ends when the slowest member has done its work.
 	Speed func(worker string) float64
-	// Seen is called with every event.
-	Seen func(Event)
-	// Crashed, if not nil, is called after a run has crashed a worker.
-	Crashed func(worker string, by workload.TaskID, at time.Time)
+	// OnEvent is called with every event.
+	OnEvent func(Event)
+	// OnCrash, if not nil, is called after a run has crashed a worker.
+	OnCrash func(worker string, by workload.TaskID, at time.Time)
 	Workers map[string]*Worker
 	now     time.Time
 }
@@ -65,14 +65,14 @@
 type Worker struct {
 	ID       string
 	Capacity workload.Resources
-	// Rate is the speed of the worker's clock, 0.98 to 1.
-	Rate float64
-	// Unguarded workers accept starts without checking their capacity.
-	Unguarded bool
-	Dead      bool
+	// ClockRate is the speed of the worker's clock, 0.98 to 1.
+	ClockRate float64
+	// IgnoresCapacity makes the worker accept starts without checking its capacity.
+	IgnoresCapacity bool
+	Dead            bool
 
-	// Born is the reported start time of the incarnation in Unix milliseconds; 0 reports none.
-	Born int64
+	// StartMS is the reported start time of the incarnation in Unix milliseconds; 0 reports none.
+	StartMS int64
 
 	fleet *Fleet
 	// clockZero is when the worker's clock showed 0.
@@ -101,8 +101,8 @@
 	gangDeadline time.Time
 	// members are the members of the run's gang, including itself, once the gang is complete.
 	members []*run
-	// paceReduction is the reduction by pace orders, in percent.
-	paceReduction int
+	// throttledPercent is the reduction by throttle orders, in percent.
+	throttledPercent int
 }
 
 // initialUptime is how long a worker has been running when it is added.
@@ -111,7 +111,7 @@
 // Add adds a worker without runs to the fleet.
 func (f *Fleet) Add(id string, capacity workload.Resources, rate float64, now time.Time) *Worker {
 	w := &Worker{
-		ID: id, Capacity: capacity, Rate: rate, Born: now.Add(-initialUptime).UnixMilli(), fleet: f, clockZero: now.Add(-initialUptime),
+		ID: id, Capacity: capacity, ClockRate: rate, StartMS: now.Add(-initialUptime).UnixMilli(), fleet: f, clockZero: now.Add(-initialUptime),
 		runs: map[workload.TaskID]*run{}, lastBarredRun: map[workload.TaskID]int64{},
 	}
 	if f.Workers == nil {
@@ -135,8 +135,8 @@
 // clock and end numbers restart.
 func (f *Fleet) Restart(id string, now time.Time) *Worker {
 	before := f.Workers[id]
-	w := f.Add(id, before.Capacity, before.Rate, now.Add(initialUptime))
-	w.Unguarded = before.Unguarded
+	w := f.Add(id, before.Capacity, before.ClockRate, now.Add(initialUptime))
+	w.IgnoresCapacity = before.IgnoresCapacity
 	return w
 }
 
@@ -149,7 +149,7 @@
 func (f *Fleet) emitVoidEnds(w *Worker, now time.Time) {
 	for _, row := range w.ended {
 		step, known := f.Step(row.Task)
-		if row.How != control.EndDone || row.Number <= w.ackedEnd || !known || (step.Gang && f.hasEndOnLiveWorker(row)) {
+		if row.End != control.EndDone || row.Number <= w.ackedEnd || !known || (step.Gang && f.hasEndOnLiveWorker(row)) {
 			continue
 		}
 		w.emitVoid(row, step, now)
@@ -165,7 +165,7 @@
 		first, end = 0, step.Count
 	}
 	for id.Index = first; id.Index < end; id.Index++ {
-		w.emit(Event{At: now, Worker: w.ID, Task: id, Run: row.Run, How: EndVoid})
+		w.emit(Event{At: now, Worker: w.ID, Task: id, Run: row.Run, End: EndVoid})
 	}
 }
 
@@ -184,7 +184,7 @@
 
 // ClockMS returns the time on the worker's own clock.
 func (w *Worker) ClockMS(now time.Time) int64 {
-	return int64(float64(now.Sub(w.clockZero).Milliseconds()) * w.Rate)
+	return int64(float64(now.Sub(w.clockZero).Milliseconds()) * w.ClockRate)
 }
 
 // Running returns the number of runs on the worker.
@@ -199,16 +199,16 @@
 	return out
 }
 
-// Held returns the resources that the runs on the worker occupy.
-func (w *Worker) Held() workload.Resources {
+// Allocated returns the resources that the runs on the worker occupy.
+func (w *Worker) Allocated() workload.Resources {
 	held := workload.Resources{}
 	for _, r := range w.runs {
-		held = held.Add(r.step.Counted())
+		held = held.Add(r.step.CapacityNeed())
 	}
 	return held
 }
 
-func (w *Worker) free() workload.Resources { return w.Capacity.Sub(w.Held()) }
+func (w *Worker) free() workload.Resources { return w.Capacity.Sub(w.Allocated()) }
 
 // acceptToken applies an order's token and returns false if a newer one was seen.
 func (w *Worker) acceptToken(token int64) bool {
@@ -220,7 +220,7 @@
 }
 
 func (w *Worker) extendLease(deadlineMS int64, now time.Time) {
-	limit := w.ClockMS(now) + w.fleet.Limits.HoldMax.Milliseconds()
+	limit := w.ClockMS(now) + w.fleet.Limits.MaxLease.Milliseconds()
 	w.deadlineMS = max(w.deadlineMS, min(deadlineMS, limit))
 }
 
@@ -228,11 +228,11 @@
 func (w *Worker) Start(o control.StartOrder, now time.Time) control.Answer {
 	w.fleet.Advance(now)
 	answer := control.Answer{ClockMS: w.ClockMS(now)}
-	answer.Verdict = w.start(o, now)
+	answer.Result = w.start(o, now)
 	return answer
 }
 
-func (w *Worker) start(o control.StartOrder, now time.Time) control.Verdict {
+func (w *Worker) start(o control.StartOrder, now time.Time) control.Result {
 	if w.Dead {
 		// Advancing to now killed the worker.
 		return control.Unanswered
@@ -254,31 +254,31 @@
 	if !ok {
 		return control.Invalid
 	}
-	if !w.Unguarded && !step.Counted().Fits(w.free()) {
+	if !w.IgnoresCapacity && !step.CapacityNeed().FitsIn(w.free()) {
 		return control.Full
 	}
-	r := &run{id: o.Task, run: o.Run, step: step, startedAt: now, saved: o.Saved, work: w.fleet.Work(o.Task, o.Run, w.ID)}
-	if o.Saved != "" {
-		r.workDone = checkpointedWork(o.Saved)
+	r := &run{id: o.Task, run: o.Run, step: step, startedAt: now, saved: o.Checkpoint, work: w.fleet.Work(o.Task, o.Run, w.ID)}
+	if o.Checkpoint != "" {
+		r.workDone = checkpointedWork(o.Checkpoint)
 	}
 	w.runs[o.Task] = r
-	w.emit(Event{At: now, Worker: w.ID, Task: o.Task, Run: o.Run, Spec: o.Spec, Saved: o.Saved, Token: o.Token})
+	w.emit(Event{At: now, Worker: w.ID, Task: o.Task, Run: o.Run, Spec: o.Spec, Checkpoint: o.Checkpoint, Token: o.Token})
 	w.fleet.startWork(r, now)
 	return control.Accepted
 }
 
 func (w *Worker) emit(e Event) {
-	if w.fleet.Seen != nil {
-		w.fleet.Seen(e)
+	if w.fleet.OnEvent != nil {
+		w.fleet.OnEvent(e)
 	}
 }
 
 // Stop handles a stop order.
 func (w *Worker) Stop(o control.StopOrder, now time.Time) control.Answer {
 	w.fleet.Advance(now)
-	answer := control.Answer{Verdict: control.Accepted, ClockMS: w.ClockMS(now)}
+	answer := control.Answer{Result: control.Accepted, ClockMS: w.ClockMS(now)}
 	if !w.acceptToken(o.Token) {
-		answer.Verdict = control.Fenced
+		answer.Result = control.Fenced
 		return answer
 	}
 	w.lastBarredRun[o.Task] = max(w.lastBarredRun[o.Task], o.Run)
@@ -291,88 +291,88 @@
 // maxEndsPerAnswer limits the ends that one answer lists.
 const maxEndsPerAnswer = 500
 
-// Hold handles a lease renewal and answers at once.
-func (w *Worker) Hold(o control.HoldOrder, now time.Time) control.HoldAnswer {
+// Renew handles a lease renewal and answers at once.
+func (w *Worker) Renew(o control.RenewalOrder, now time.Time) control.RenewalAnswer {
 	w.fleet.Advance(now)
-	answer := control.HoldAnswer{Verdict: control.Accepted, ClockMS: w.ClockMS(now), Born: w.Born}
+	answer := control.RenewalAnswer{Result: control.Accepted, ClockMS: w.ClockMS(now), StartMS: w.StartMS}
 	if !w.acceptToken(o.Token) {
-		answer.Verdict = control.Fenced
+		answer.Result = control.Fenced
 		return answer
 	}
 	if o.DeadlineMS > 0 {
 		w.extendLease(o.DeadlineMS, now)
 	}
-	w.ackedEnd = max(w.ackedEnd, o.Cursor)
+	w.ackedEnd = max(w.ackedEnd, o.AcknowledgedEnd)
 	for len(w.ended) > 0 && w.ended[0].Number <= w.ackedEnd {
 		w.ended = w.ended[1:]
 	}
 	for _, r := range w.sortedRuns() {
-		answer.Running = append(answer.Running, control.RunningRow{Task: r.id, Run: r.run, Saved: r.saved, Percent: r.percent(now), Figure: w.measurement(r)})
+		answer.Running = append(answer.Running, control.RunningRow{Task: r.id, Run: r.run, Checkpoint: r.saved, Percent: r.percent(now), Metric: w.metric(r)})
 	}
 	answer.Ended = append(answer.Ended, w.ended[:min(len(w.ended), maxEndsPerAnswer)]...)
 	answer.More = len(w.ended) > maxEndsPerAnswer
 	return answer
 }
 
-// Keep applies the lease and the token of a renewal that waits for new ends.
-func (w *Worker) Keep(o control.HoldOrder, now time.Time) {
+// ExtendLease applies the lease and the token of a renewal that waits for new ends.
+func (w *Worker) ExtendLease(o control.RenewalOrder, now time.Time) {
 	if w.acceptToken(o.Token) && o.DeadlineMS > 0 {
 		w.extendLease(o.DeadlineMS, now)
 	}
 }
 
-// Pace handles a pace order; it takes effect at once.
-func (w *Worker) Pace(o control.PaceOrder, now time.Time) control.Answer {
+// Throttle handles a throttle order; it takes effect at once.
+func (w *Worker) Throttle(o control.ThrottleOrder, now time.Time) control.Answer {
 	w.fleet.Advance(now)
-	answer := control.Answer{Verdict: control.Accepted, ClockMS: w.ClockMS(now)}
+	answer := control.Answer{Result: control.Accepted, ClockMS: w.ClockMS(now)}
 	if !w.acceptToken(o.Token) {
-		answer.Verdict = control.Fenced
+		answer.Result = control.Fenced
 		return answer
 	}
 	r := w.runs[o.Task]
 	if r == nil || r.run != o.Run {
-		answer.Verdict = control.Superseded
+		answer.Result = control.Superseded
 		return answer
 	}
-	r.paceReduction = fullPercent - o.Percent
+	r.throttledPercent = fullPercent - o.Percent
 	return answer
 }
 
 // fullPercent is all of a run's work, or its full pace, in percent.
 const fullPercent = 100
 
-// measurement returns the tail latency of a run that serves, and the processor use of any other
+// metric returns the tail latency of a run that serves, and the processor use of any other
 // run.
-func (w *Worker) measurement(r *run) int {
+func (w *Worker) metric(r *run) int {
 	if r.work.TailMS == 0 {
-		return int(r.step.Need.MilliCPU) * (fullPercent - r.paceReduction) / fullPercent
+		return int(r.step.Need.MilliCPU) * (fullPercent - r.throttledPercent) / fullPercent
 	}
 	tail := r.work.TailMS
 	for _, other := range w.runs {
 		if other != r {
-			tail += other.work.DisturbsMS * (fullPercent - other.paceReduction) / fullPercent
+			tail += other.work.DisturbsMS * (fullPercent - other.throttledPercent) / fullPercent
 		}
 	}
 	return tail
 }
 
-// Tails returns the tail latencies of the runs that serve on the worker, in milliseconds.
-func (w *Worker) Tails() []int {
+// TailLatencies returns the tail latencies of the runs that serve on the worker, in milliseconds.
+func (w *Worker) TailLatencies() []int {
 	var out []int
 	for _, r := range w.sortedRuns() {
 		if r.work.TailMS > 0 {
-			out = append(out, w.measurement(r))
+			out = append(out, w.metric(r))
 		}
 	}
 	return out
 }
 
-// Slowed returns the pace reduction of each run with Fills set, in percent.
-func (w *Worker) Slowed() []int {
+// ThrottledPercents returns the throttling of each run with BestEffortCPU set, in percent.
+func (w *Worker) ThrottledPercents() []int {
 	var out []int
 	for _, r := range w.sortedRuns() {
-		if r.step.Fills {
-			out = append(out, r.paceReduction)
+		if r.step.BestEffortCPU {
+			out = append(out, r.throttledPercent)
 		}
 	}
 	return out
@@ -389,7 +389,7 @@
 	if r.step.Perpetual && !r.workingSince.IsZero() {
 		return fullPercent
 	}
-	if r.work.Hang || r.work.Takes <= 0 {
+	if r.work.Hangs || r.work.Takes <= 0 {
 		return 0
 	}
 	if r.step.Gang && !r.workingSince.IsZero() && r.finishedWork(now) {
@@ -401,9 +401,9 @@
 // Ended returns the ends that are currently listed.
 func (w *Worker) Ended() []control.EndedRow { return append([]control.EndedRow(nil), w.ended...) }
 
-// Acked returns the number of the last end that was acknowledged.
-func (w *Worker) Acked() int64 { return w.ackedEnd }
+// AcknowledgedEnd returns the number of the last end that was acknowledged.
+func (w *Worker) AcknowledgedEnd() int64 { return w.ackedEnd }
 
-// Void returns the number of the last end that was listed before the worker's lease last expired.
-// Acknowledging such an end has no effect any more.
-func (w *Worker) Void() int64 { return w.lastVoidEnd }
+// LastVoidEnd returns the number of the last end that was listed before the worker's lease last
+// expired. Acknowledging such an end has no effect any more.
+func (w *Worker) LastVoidEnd() int64 { return w.lastVoidEnd }
--- a/workload/workertest/restart_test.go
+++ b/workload/workertest/restart_test.go
@@ -22,7 +22,7 @@
 	f.Kill("w2", now)
 	void := map[int]bool{}
 	for _, e := range *seen {
-		if e.How == EndVoid {
+		if e.End == EndVoid {
 			void[e.Task.Index] = true
 		}
 	}
@@ -37,12 +37,12 @@
 	f, _, now := newCrashFleet(false)
 	w := f.Workers["w1"]
 	startRun(f, "w1", workload.TaskID{Job: "a"}, now)
-	w.Hold(control.HoldOrder{Token: 9, Cursor: 5}, now)
+	w.Renew(control.RenewalOrder{Token: 9, AcknowledgedEnd: 5}, now)
 	f.Kill("w1", now)
 	now = now.Add(time.Second)
 	next := f.Restart("w1", now)
-	if next.Born != now.UnixMilli() || next.ClockMS(now) != 0 || next.Running() != 0 || next.Acked() != 0 {
-		t.Fatalf("start time %d, clock %d, %d runs, ends acknowledged up to %d", next.Born, next.ClockMS(now), next.Running(), next.Acked())
+	if next.StartMS != now.UnixMilli() || next.ClockMS(now) != 0 || next.Running() != 0 || next.AcknowledgedEnd() != 0 {
+		t.Fatalf("start time %d, clock %d, %d runs, ends acknowledged up to %d", next.StartMS, next.ClockMS(now), next.Running(), next.AcknowledgedEnd())
 	}
 	if v := startRun(f, "w1", workload.TaskID{Job: "a"}, now); v != control.Accepted {
 		t.Fatalf("a start with an older token returned %s", v)
