--- a/domain/job.go
+++ b/domain/job.go
@@ -14,16 +14,16 @@
 
 // Adjacencies, strictest first.
 const (
-	SameWorker       Adjacency = "same-worker"
-	SameRack         Adjacency = "same-rack"
-	NeighbouringRack Adjacency = "neighbouring-racks"
-	Anywhere         Adjacency = "anywhere"
+	SameWorker        Adjacency = "same-worker"
+	SameRack          Adjacency = "same-rack"
+	NeighbouringRacks Adjacency = "neighbouring-racks"
+	Anywhere          Adjacency = "anywhere"
 )
 
 // IsValid reports whether a is one of the defined adjacencies.
 func (a Adjacency) IsValid() bool {
 	switch a {
-	case SameWorker, SameRack, NeighbouringRack, Anywhere:
+	case SameWorker, SameRack, NeighbouringRacks, Anywhere:
 		return true
 	}
 	return false
@@ -81,7 +81,7 @@
 	// Estimate is the run time that the caller declares; it may be inaccurate.
 	Estimate Duration `json:"estimate"`
 	// Submitted is the wall-clock time at the accepting instance. It is used for
-	// display and ageing only, never for an order on which safety depends.
+	// display and ageing only, never for an ordering on which safety depends.
 	Submitted time.Time `json:"submitted"`
 	// Payload is passed to every task unchanged.
 	Payload string `json:"payload,omitempty"`
@@ -89,14 +89,16 @@
 
 // Incarnation identifies one attempt to run a job's gang. Attempt numbers of a job
 // increase. Holder is the planner that started the attempt, so that two planners
-// that are unaware of each other never use the same identifier.
+// that are active at the same time never use the same identifier. It is not a
+// worker's incarnation, which workload/control tracks.
 type Incarnation struct {
 	Job     JobID      `json:"job"`
 	Attempt uint64     `json:"attempt"`
 	Holder  InstanceID `json:"holder"`
 }
 
-// Newer reports whether i is a later attempt than o at the same job.
+// Newer reports whether i is newer than o, an incarnation of the same job: by
+// attempt, then by holder.
 func (i Incarnation) Newer(o Incarnation) bool {
 	if i.Attempt != o.Attempt {
 		return i.Attempt > o.Attempt
--- a/events/report/report_test.go
+++ b/events/report/report_test.go
@@ -46,7 +46,7 @@
 	return Make(lines)
 }
 
-func TestAReportTellsWhereTheTimeOfLateJobsWent(t *testing.T) {
+func TestReportBreaksDownTheTimeOfLateJobs(t *testing.T) {
 	var out bytes.Buffer
 	if err := makeReport(t).Write(&out); err != nil {
 		t.Fatal(err)
@@ -54,9 +54,10 @@
 	goldie.New(t).Assert(t, "report", out.Bytes())
 }
 
-// Guards against measuring a job by the planner's times: its caller was refused before
-// the acceptance and learned of the end only after it.
-func TestAJobIsInTimeIfItsCallerWasToldInTime(t *testing.T) {
+// Job w is in time by the planner's times but late for its caller: its first submission was
+// refused 1.5 s before the acceptance, and its end was shown 0.2 s after it. The report must
+// use the caller's times.
+func TestLatenessIsMeasuredByTheCallersTimes(t *testing.T) {
 	for _, q := range makeReport(t).Queues {
 		if q.Name == "r" && (q.InTime != 0 || q.Late != 1 || q.Phases.Accepting.QuantileMS(0.5) != 1500 || q.Phases.Notifying.QuantileMS(0.5) != 200) {
 			t.Fatalf("%+v", q)
--- a/scheduler/placement/find.go
+++ b/scheduler/placement/find.go
@@ -52,7 +52,7 @@
 		return f.onOneWorker(c, shape, strategy)
 	case domain.SameRack:
 		return f.inRackWindow(c, shape, strategy, 1)
-	case domain.NeighbouringRack:
+	case domain.NeighbouringRacks:
 		return f.inRackWindow(c, shape, strategy, neighbouringRacks)
 	}
 	return f.fill(c, shape, strategy, 0, len(c.Nodes))
@@ -227,9 +227,9 @@
 	switch shape.Adjacency {
 	case domain.SameWorker:
 		return slices.Max(append(f.taskCounts, 0))
-	case domain.SameRack, domain.NeighbouringRack:
+	case domain.SameRack, domain.NeighbouringRacks:
 		width := 1
-		if shape.Adjacency == domain.NeighbouringRack {
+		if shape.Adjacency == domain.NeighbouringRacks {
 			width = neighbouringRacks
 		}
 		for r := range c.Racks {
--- a/scheduler/plan_test.go
+++ b/scheduler/plan_test.go
@@ -96,7 +96,7 @@
 		return domain.Shape{
 			Tasks:     rapid.IntRange(1, 3).Draw(t, "tasks"),
 			PerTask:   domain.Resources{Accelerators: rapid.SampledFrom([]int{2, 4, 8}).Draw(t, "accelerators")},
-			Adjacency: rapid.SampledFrom([]domain.Adjacency{domain.SameRack, domain.NeighbouringRack, domain.Anywhere}).Draw(t, "adjacency"),
+			Adjacency: rapid.SampledFrom([]domain.Adjacency{domain.SameRack, domain.NeighbouringRacks, domain.Anywhere}).Draw(t, "adjacency"),
 		}
 	}), 1, 4).Draw(t, "shapes")
 	m := &model{policy: DefaultPolicy(), snapshot: Snapshot{
--- a/state/follower.go
+++ b/state/follower.go
@@ -9,8 +9,8 @@
 )
 
 // Follower reads one stream from an offset onwards and applies every entry in
-// order. If entries that it has not read are past the log's retention, it
-// reports the oldest offset that is left, so that a snapshot can be loaded.
+// order. If the log has dropped entries that were not read yet, it calls
+// OnTruncated, which may load a snapshot.
 type Follower struct {
 	Log    port.Log
 	Stream port.Stream
@@ -19,8 +19,9 @@
 	// Apply applies one entry.
 	Apply func(port.Entry)
 	// OnTruncated is called when entries before oldest are gone from the log; it
-	// may load a snapshot. It returns an error if it could not find out whether
-	// there is one: the read is then repeated and nothing is applied. May be nil.
+	// may load a snapshot. If it returns an error, for example because the
+	// snapshot could not be looked up, nothing is applied and the read is
+	// repeated. May be nil.
 	OnTruncated func(ctx context.Context, oldest int64) error
 
 	lastRead atomic.Int64 // unix nanoseconds of the last successful read
--- a/workload/control/advice.go
+++ b/workload/control/advice.go
@@ -127,7 +127,7 @@
 			continue
 		}
 		c.adviceInFlight = true
-		terms := c.terms(j).Advice
+		terms := c.queueSettings(j).Advice
 		expected := time.Duration(0)
 		if terms != nil {
 			expected = time.Duration(terms.DecideMS+terms.PerWorkerMS*int64(len(workers))) * time.Millisecond
--- a/workload/control/core.go
+++ b/workload/control/core.go
@@ -22,14 +22,14 @@
 	// workersByID are the workers sorted by id, jobsByAcceptance the jobs in order of acceptance.
 	workersByID      []*worker
 	jobsByAcceptance []*job
-	// idsByAddress are the worker ids listed at each address, unlisted the workers that are no
-	// longer in the list, unpersisted those with ends that are not in the log yet.
+	// idsByAddress is the id of the worker last listed at each address, unlisted the workers that
+	// are no longer in the list, unpersisted those with ends that are not in the log yet.
 	idsByAddress map[string]string
 	unlisted     map[string]bool
 	unpersisted  map[*worker]bool
 	jobs         map[workload.JobID]*job
-	// finishedJobs are jobs of which nothing can be running. It is nil once it is no longer
-	// needed (unknown_ends.go).
+	// finishedJobs are the ended jobs of which no run can be active any more. It is nil once it is
+	// no longer needed (unknown_ends.go).
 	finishedJobs     map[workload.JobID]bool
 	runs             map[workload.TaskID]*activeRun
 	dirty            map[workload.JobID]bool
@@ -74,7 +74,7 @@
 	// listedCount is the number of workers in the list, aliveCount that of those which are not
 	// known to have crashed.
 	listedCount, aliveCount int
-	// listContinuousSince is since when the list has been followed without a gap.
+	// listContinuousSince is the start of the time in which the worker list was read without a gap.
 	listContinuousSince time.Time
 	unpersistedDuties   []DutyOrder
 	dutiesAllowedFrom   time.Time
@@ -96,7 +96,7 @@
 	cancelled bool
 	// sequence is the number of jobs that were known when this one was added.
 	sequence int
-	// waitingSince is when each open step could first start.
+	// waitingSince is when each waiting unit could first start.
 	waitingSince   map[decide.UnitKey]time.Time
 	avoidedWorkers map[string]bool
 	// rates are the measured progress rates of its runs, by step and task.
@@ -104,7 +104,8 @@
 	// runs are the job's runs that may be running, in the order in which they were placed.
 	runs        []*activeRun
 	waitReasons map[decide.UnitKey]decide.Reason
-	// dueAt is when an unscheduled job was due.
+	// dueAt is when a job without repetitions was due: when it was accepted, by this planner's
+	// clock (due_time.go).
 	dueAt time.Time
 	// inherited is set if an earlier planner had started the job.
 	inherited bool
@@ -113,14 +114,14 @@
 	completedTime, failedTime map[int]time.Duration
 	// crashedAt is when a worker last crashed while running one of its tasks.
 	crashedAt time.Time
-	// waitedUnsettledAt is when one of its tasks last waited for the pool to settle.
+	// waitedUnsettledAt is when one of its tasks last waited because the pool was unstable.
 	waitedUnsettledAt time.Time
 	// suspected is set if a worker has crashed while running one of its tasks, and the task was
 	// not cleared since.
 	suspected bool
 }
 
-// activeRun is a run that has been ordered and may be running.
+// activeRun is a run that was planned or adopted and that may be running.
 type activeRun struct {
 	id     workload.TaskID
 	key    decide.UnitKey
@@ -163,7 +164,7 @@
 	unsettledReported bool
 	// metric is the worker's latest RunningRow.Metric.
 	metric int
-	// throttledPercent is the share of its pace that throttling takes away, in percent.
+	// throttledPercent is by how many percent throttling slows the run down.
 	// throttlePending is set while a throttle order is in flight.
 	throttledPercent int
 	throttlePending  bool
@@ -282,8 +283,7 @@
 	return out
 }
 
-// sortedKeys makes decisions independent of map order, so that the same inputs always give the
-// same decisions.
+// sortedKeys returns the keys in order, so that decisions do not depend on map order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
 func (w *worker) sortedRuns() []*activeRun {
@@ -365,8 +365,8 @@
 	return out
 }
 
-// Persisted releases what waited for the records of the last Changes call: starts may be ordered,
-// and workers may forget ends.
+// Persisted must be called once the records of the last Changes call are in the log. It returns
+// the start orders to send now, and lets the next renewals acknowledge the logged ends.
 func (c *Core) Persisted(now time.Time) []StartOrder {
 	for w := range c.unpersisted {
 		if w.batchedEnd > w.persistedEnd {
--- a/workload/control/crash_model_test.go
+++ b/workload/control/crash_model_test.go
@@ -70,7 +70,7 @@
 		// Its address refuses connections, and a call in flight is aborted.
 		return control.Unanswered, 5 * time.Millisecond
 	}
-	return control.Unanswered, orderTimeout
+	return control.Unanswered, answerTimeout
 }
 
 // onCrash starts another worker at the address of one that a task has crashed, after the restart
--- a/workload/control/incarnations.go
+++ b/workload/control/incarnations.go
@@ -14,9 +14,9 @@
 //
 // Orders name only the worker's id. An unanswered order may still be in transit, and the next
 // incarnation would carry it out: a start order would start a run there that was taken for lost,
-// and a lease renewal would make it forget ends that nobody has read. So each time a worker falls
-// silent, its fencing token is raised. Whichever incarnation answers a lease renewal under the
-// raised token accepts no order that was sent before, and everything that the earlier orders
+// and a lease renewal would make it drop ends that the planner has not read. So each time a worker
+// falls silent, its fencing token is raised. Whichever incarnation answers a lease renewal under
+// the raised token accepts no order that was sent before, and everything that the earlier orders
 // caused is in its list then.
 //
 // A raised token that has not reached the next incarnation yet stops nothing there. So start
@@ -183,7 +183,7 @@
 	}
 }
 
-// restartOn records that a run was started anew on the given incarnation of its worker.
+// restartOn records that a run was restarted on the given incarnation of its worker.
 func (r *activeRun) restartOn(number int, now time.Time) {
 	r.incarnation = number
 	r.orderedAt = now
@@ -200,7 +200,7 @@
 // first.
 func (c *Core) maxOrderDelay() time.Duration { return maxLeaseTime(c.bounds.Lease) }
 
-// recordStrayOrder records that an order sent at the given time was not answered.
+// recordStrayOrder records that an order sent at the given time or earlier was not answered.
 func (c *Core) recordStrayOrder(w *worker, sent time.Time) {
 	if until := sent.Add(c.maxOrderDelay()); until.After(w.strayOrdersUntil) {
 		w.strayOrdersUntil = until
--- a/workload/control/mutants_test.go
+++ b/workload/control/mutants_test.go
@@ -27,16 +27,16 @@
 	trustSilence bool
 	// losesCrashCounts: crashes are counted only in the planner's memory.
 	losesCrashCounts bool
-	// anonymousIncarnations: incarnations are told apart neither by start time nor by clock.
+	// anonymousIncarnations: incarnations are distinguished neither by start time nor by clock.
 	anonymousIncarnations bool
 	// constantTokens: tokens are not raised when a worker falls silent.
 	constantTokens bool
 	// unboundStarts: a start order reaches whichever incarnation is running when it arrives.
-	// unboundCursors: so does a lease renewal that lets ends be forgotten.
-	unboundStarts, unboundCursors bool
-	// reusedCursors: each lease renewal carries the highest cursor that was ever sent to the
-	// worker, whichever incarnation it was meant for.
-	reusedCursors bool
+	// unboundAcknowledgements: so does a lease renewal that acknowledges ends.
+	unboundStarts, unboundAcknowledgements bool
+	// reusedAcknowledgements: each lease renewal carries the highest acknowledgement that was ever
+	// sent to the worker, whichever incarnation it was meant for.
+	reusedAcknowledgements bool
 	// heartbeatFactor: planners assume an interval of heartbeats that is this many times as long.
 	heartbeatFactor time.Duration
 	// datedByRead: entries show the time at which they were read instead of written.
@@ -62,12 +62,12 @@
 	return a
 }
 
-// alterVerdict returns the result of an order as the planner receives it.
-func (m mutant) alterVerdict(verdict, otherwise control.Result) control.Result {
-	if m.trustSilence && verdict == control.Unanswered {
+// alterResult returns the result of an order as the planner receives it.
+func (m mutant) alterResult(result, otherwise control.Result) control.Result {
+	if m.trustSilence && result == control.Unanswered {
 		return otherwise
 	}
-	return verdict
+	return result
 }
 
 // mutantSeeds is the number of simulations in which a mutant must be detected.
@@ -123,12 +123,12 @@
 func TestSimulationDetectsIncarnationMutants(t *testing.T) {
 	for name, m := range map[string]mutant{
 		"incarnations not told apart":              {anonymousIncarnations: true},
-		"silence raises no token":                  {constantTokens: true, unboundStarts: true, unboundCursors: true},
-		"cursors of an earlier incarnation":        {reusedCursors: true},
+		"silence raises no token":                  {constantTokens: true, unboundStarts: true, unboundAcknowledgements: true},
+		"cursors of an earlier incarnation":        {reusedAcknowledgements: true},
 		"silence taken for an answer":              {trustSilence: true},
-		"starts and cursors reach any incarnation": {unboundStarts: true, unboundCursors: true},
+		"starts and cursors reach any incarnation": {unboundStarts: true, unboundAcknowledgements: true},
 		"starts reach any incarnation":             {unboundStarts: true},
-		"cursors reach any incarnation":            {unboundCursors: true},
+		"cursors reach any incarnation":            {unboundAcknowledgements: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range mutantSeeds {
--- a/workload/control/orders.go
+++ b/workload/control/orders.go
@@ -13,8 +13,8 @@
 	// orderRetryPause is the pause before an unanswered order is repeated. A repeated start of
 	// the same run has no further effect on its worker.
 	orderRetryPause = 50 * time.Millisecond
-	// orderTimeout is the time after which an order is sent again if its call has not even
-	// reported a failure.
+	// orderTimeout is the time after which a start order is sent again if its call has not
+	// returned.
 	orderTimeout = 1500 * time.Millisecond
 	// stopRetryPause is the pause before a stop is repeated.
 	stopRetryPause = 500 * time.Millisecond
@@ -51,7 +51,7 @@
 		return
 	}
 	if order.Incarnation != w.number && answer.Result != Fenced {
-		// What the next incarnation lists shows the result.
+		// The next incarnation's list of runs and ends will show whether the order was carried out.
 		return
 	}
 	switch answer.Result {
@@ -80,8 +80,8 @@
 	}
 }
 
-// handleSuperseded handles a start of a run that was stopped or has ended. Its end is in the
-// worker's list, unless the run never was there.
+// handleSuperseded handles the answer that the worker has already stopped or ended the run. The
+// worker lists the run's end, unless the run never started there.
 func (c *Core) handleSuperseded(r *activeRun, now time.Time) {
 	r.answered = true
 	if r.answeredAt.IsZero() {
@@ -89,9 +89,9 @@
 	}
 }
 
-// handleUnanswered handles a start that may have been carried out, or may be later. It is
-// repeated until the worker answers or its lease must have expired. A gang that waits for one
-// member is stopped before the other members time out.
+// handleUnanswered handles a start order without an answer: it may have been carried out, or may
+// still be. It is repeated until the worker answers or its lease must have expired. A gang that
+// waits for one member is stopped before the other members time out.
 func (c *Core) handleUnanswered(r *activeRun, now time.Time) {
 	c.emit(Event{Name: EventStartUnanswered, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run})
 	c.markSilent(r.worker, now)
@@ -103,7 +103,8 @@
 }
 
 // handleUnreached handles a start that was never sent. If no earlier attempt may still be carried
-// out, the task is placed elsewhere at once, and a crash of the worker is no evidence against it.
+// out, the task is placed elsewhere at once, and a crash of the worker does not count against the
+// task.
 func (c *Core) handleUnreached(r *activeRun, now time.Time) {
 	if r.attempts > 1 {
 		c.handleUnanswered(r, now)
@@ -116,8 +117,9 @@
 	c.settleRun(r, EndStopped, "")
 }
 
-// handleRefused handles a start that the worker refused without any effect. The order has no
-// later effect either once the worker has accepted a stop of the run.
+// handleRefused handles a start order that the worker refused. If an earlier attempt was not
+// answered, it may still be carried out, so the run is stopped first: once the worker has accepted
+// the stop, the order has no later effect. Otherwise the run is settled at once.
 func (c *Core) handleRefused(r *activeRun, result Result, now time.Time) {
 	c.emit(Event{Name: EventStartRefused, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Reason: string(result)})
 	if result == Unhealthy {
@@ -134,7 +136,6 @@
 		c.settleRun(r, EndStopped, "")
 		return
 	}
-	// An earlier attempt was not answered and may still be carried out.
 	c.stop(r, "refused-"+string(result))
 }
 
@@ -144,7 +145,7 @@
 		return
 	}
 	if c.inBatch(r) {
-		// The run has not been ordered and will not be.
+		// The start order has not been sent and will not be.
 		c.emit(Event{Name: EventRunWithdrawn, Job: r.id.Job, Task: r.id.String(), Worker: r.worker.ID, Run: r.run, Reason: reason})
 		r.unstarted = true
 		c.settleRun(r, EndStopped, "")
@@ -207,8 +208,10 @@
 		case r.stopping && !r.stopAccepted:
 			c.pendingStops = append(c.pendingStops, newStopOrder(r.worker, r.id, r.run))
 		case r.stopping || !r.ordered || r.answered || r.confirmed || (r.incarnation != 0 && r.incarnation != r.worker.number):
+			// There is nothing to repeat.
 		case c.withdrawIfClosed(r):
-			// The repeated order might be the one that starts the run.
+			// The worker may start nothing more or is full, so the run was given up: the repeated
+			// order might be the one that starts it.
 		case !r.worker.reachable:
 			// The next answer may come from another incarnation. A start that crashed the
 			// previous one would crash it too, so wait for a lease renewal first.
@@ -220,7 +223,8 @@
 	return out
 }
 
-// expireLeases settles the runs of unreachable workers whose leases must have expired.
+// expireLeases settles the runs of unreachable workers whose leases must have expired or that
+// have left the list.
 func (c *Core) expireLeases(now time.Time) {
 	for _, w := range c.workersByID {
 		switch {
@@ -235,13 +239,16 @@
 	}
 }
 
-func (c *Core) terms(j *job) workload.QueueSettings {
+// queueSettings returns the configured settings of the job's queue, or those recorded with the job.
+func (c *Core) queueSettings(j *job) workload.QueueSettings {
 	if t, ok := c.config.Queues[j.Queue]; ok {
 		return t
 	}
 	return j.QueueSettings
 }
 
+// guaranteedJobs returns the first-priority jobs of the accounts whose such jobs together need no
+// more accelerators than the account is guaranteed. Cancelled and final jobs do not count.
 func (c *Core) guaranteedJobs() map[workload.JobID]bool {
 	claimed := map[string]int64{}
 	for _, j := range c.jobs {
@@ -258,11 +265,12 @@
 	return out
 }
 
-// countsAgainstGuarantee reports whether a job counts against its account's guarantee.
+// countsAgainstGuarantee reports whether a job uses up its account's guarantee: first-priority jobs
+// do until they are cancelled or final.
 func (c *Core) countsAgainstGuarantee(j *job) bool {
-	return !j.cancelled && !j.progress.State.IsFinal() && c.terms(j).Priority == 0
+	return !j.cancelled && !j.progress.State.IsFinal() && c.queueSettings(j).Priority == 0
 }
 
-func unitKey(id workload.JobID, k, step int) decide.UnitKey {
-	return decide.UnitKey{Job: id, Occurrence: k, Step: step}
+func unitKey(id workload.JobID, occurrence, step int) decide.UnitKey {
+	return decide.UnitKey{Job: id, Occurrence: occurrence, Step: step}
 }
--- a/workload/control/outage_bench_test.go
+++ b/workload/control/outage_bench_test.go
@@ -8,13 +8,13 @@
 )
 
 // restartAll has every worker answer as a new incarnation on which nothing runs.
-func (c *loadedPool) restartAll(workers int) {
+func (p *loadedPool) restartAll(workers int) {
 	for i := range workers {
 		order := control.RenewalOrder{Worker: fmt.Sprintf("%016x", i*7919), Address: fmt.Sprint(i), Incarnation: 1, Token: poolToken << 20}
-		c.core.HandleRenewal(order, control.RenewalAnswer{Result: control.Unanswered}, c.now, c.now)
-		c.core.HandleRenewal(order, control.RenewalAnswer{Result: control.Accepted, ClockMS: 1, StartMS: c.now.UnixMilli()}, c.now, c.now)
+		p.core.HandleRenewal(order, control.RenewalAnswer{Result: control.Unanswered}, p.now, p.now)
+		p.core.HandleRenewal(order, control.RenewalAnswer{Result: control.Accepted, ClockMS: 1, StartMS: p.now.UnixMilli()}, p.now, p.now)
 	}
-	c.runs = map[string][]control.RunningRow{}
+	p.runs = map[string][]control.RunningRow{}
 }
 
 // BenchmarkAllCrash measures the time that the planner spends when all workers of a full pool crash
@@ -24,15 +24,15 @@
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			for range b.N {
 				b.StopTimer()
-				c := newLoadedPool(workers)
-				c.fill(workers, 0)
+				p := newLoadedPool(workers)
+				p.fill(workers, 0)
 				for range 3 {
-					c.round()
-					c.renewAll()
+					p.round()
+					p.renewAll()
 				}
 				b.StartTimer()
-				c.restartAll(workers)
-				c.round()
+				p.restartAll(workers)
+				p.round()
 			}
 		})
 	}
--- a/workload/control/outcome.go
+++ b/workload/control/outcome.go
@@ -43,7 +43,7 @@
 	if !j.dueAt.IsZero() && !j.inherited {
 		took := c.roundAt.Sub(j.dueAt)
 		ran := j.longestRunChain()
-		terms := c.terms(j)
+		terms := c.queueSettings(j)
 		objective := time.Duration(terms.Stretch*float64(ran)) + time.Duration(terms.TargetMS)*time.Millisecond
 		event.Reason = string(compareWithObjective(took, objective))
 		event.Detail = fmt.Sprintf("queue=%s took_ms=%d worked_ms=%d objective_ms=%d", j.Queue, took.Milliseconds(), ran.Milliseconds(), objective.Milliseconds())
--- a/workload/control/renewals.go
+++ b/workload/control/renewals.go
@@ -355,7 +355,7 @@
 	}
 	counted.Failures++
 	r.job.avoidedWorkers[r.worker.ID] = true
-	attempts := max(1, c.terms(r.job).MaxAttempts)
+	attempts := max(1, c.queueSettings(r.job).MaxAttempts)
 	if counted.Failures < attempts || r.job.progress.State.IsFinal() {
 		return
 	}
--- a/workload/control/round.go
+++ b/workload/control/round.go
@@ -105,7 +105,7 @@
 		for _, r := range w.runs {
 			need := r.step.CapacityNeed()
 			out.Free = out.Free.Sub(need)
-			if !r.step.Checkpoint && c.terms(r.job).Priority > 0 {
+			if !r.step.Checkpoint && c.queueSettings(r.job).Priority > 0 {
 				out.NonCheckpointed += need.Accelerators
 			}
 			if r.stopping || r.settled {
@@ -154,7 +154,7 @@
 func (c *Core) newGroup(r *activeRun, guaranteed map[workload.JobID]bool) decide.Group {
 	return decide.Group{
 		Key: r.key, Index: r.id.Index,
-		Priority: c.terms(r.job).Priority, Guaranteed: guaranteed[r.id.Job],
+		Priority: c.queueSettings(r.job).Priority, Guaranteed: guaranteed[r.id.Job],
 	}
 }
 
@@ -239,7 +239,7 @@
 		j.waitingSince[u.Key] = now
 	}
 	u.ReadySince = j.waitingSince[u.Key]
-	terms := c.terms(j)
+	terms := c.queueSettings(j)
 	u.Priority = terms.Priority
 	u.Service = terms.Service
 	due := c.due(j, o.Number, now, wallMS)
--- a/workload/control/simulation_orders_test.go
+++ b/workload/control/simulation_orders_test.go
@@ -31,8 +31,8 @@
 	return delay, true, false
 }
 
-// orderTimeout is when the sender of an order gives it up.
-const orderTimeout = 600 * time.Millisecond
+// answerTimeout is how long a sender waits for the answer to an order.
+const answerTimeout = 600 * time.Millisecond
 
 func (sim *simulation) schedule(d time.Duration, f func()) {
 	sim.deliveries = append(sim.deliveries, delivery{sim.now.Add(d), f})
@@ -43,14 +43,14 @@
 // is running when the order arrives.
 func (sim *simulation) send(worker string, p *planner, incarnation *workertest.Worker, carryOut func(*workertest.Worker) func(), fail func(control.Result)) {
 	delay, answered, lost := sim.drawDelivery(worker)
-	silence := func() { fail(control.Unanswered) }
+	reportTimeout := func() { fail(control.Unanswered) }
 	if !lost {
 		sim.schedule(delay, func() {
 			target := sim.fleet.Workers[worker]
 			if target == nil || target.Dead || (incarnation != nil && target != incarnation) {
 				if answered {
-					verdict, after := sim.crashes.callResult(worker)
-					sim.schedule(after, func() { sim.deliver(p, func() { fail(verdict) }) })
+					result, after := sim.crashes.callResult(worker)
+					sim.schedule(after, func() { sim.deliver(p, func() { fail(result) }) })
 				}
 				return
 			}
@@ -61,7 +61,7 @@
 		})
 	}
 	if lost || !answered {
-		sim.schedule(orderTimeout, func() { sim.deliver(p, silence) })
+		sim.schedule(answerTimeout, func() { sim.deliver(p, reportTimeout) })
 	}
 }
 
@@ -83,7 +83,7 @@
 	o.DeadlineMS += sim.mutant.extraLease.Milliseconds()
 	if d := sim.startDelays[o.Task.Job]; d > 0 {
 		sim.schedule(d, func() { sim.fleet.Workers[o.Worker].Start(o, sim.now) })
-		sim.schedule(orderTimeout, func() {
+		sim.schedule(answerTimeout, func() {
 			sim.deliver(p, func() { p.core.HandleStartAnswer(o, control.Answer{Result: control.Unanswered}, sim.now) })
 		})
 		return
@@ -106,8 +106,8 @@
 			a.Result = control.Unanswered
 		}
 		return func() { p.core.HandleStartAnswer(o, a, sim.now) }
-	}, func(v control.Result) {
-		p.core.HandleStartAnswer(o, control.Answer{Result: sim.mutant.alterVerdict(v, control.Full)}, sim.now)
+	}, func(result control.Result) {
+		p.core.HandleStartAnswer(o, control.Answer{Result: sim.mutant.alterResult(result, control.Full)}, sim.now)
 	})
 }
 
@@ -115,16 +115,16 @@
 	sim.send(o.Worker, p, nil, func(target *workertest.Worker) func() {
 		a := target.Stop(o, sim.now)
 		return func() { p.core.HandleStopAnswer(o, a, sim.now) }
-	}, func(v control.Result) {
-		p.core.HandleStopAnswer(o, control.Answer{Result: sim.mutant.alterVerdict(v, control.Accepted)}, sim.now)
+	}, func(result control.Result) {
+		p.core.HandleStopAnswer(o, control.Answer{Result: sim.mutant.alterResult(result, control.Accepted)}, sim.now)
 	})
 }
 
-func (sim *simulation) sendPace(p *planner, o control.ThrottleOrder) {
+func (sim *simulation) sendThrottle(p *planner, o control.ThrottleOrder) {
 	sim.send(o.Worker, p, nil, func(target *workertest.Worker) func() {
 		answer := target.Throttle(o, sim.now)
 		return func() { p.core.HandleThrottleAnswer(o, answer, sim.now) }
-	}, func(v control.Result) { p.core.HandleThrottleAnswer(o, control.Answer{Result: v}, sim.now) })
+	}, func(result control.Result) { p.core.HandleThrottleAnswer(o, control.Answer{Result: result}, sim.now) })
 }
 
 func (sim *simulation) sendRenewal(p *planner, o control.RenewalOrder) {
@@ -136,12 +136,12 @@
 	if sim.mutant.earlyAck {
 		o.AcknowledgedEnd = 1 << 40
 	}
-	if sim.mutant.reusedCursors {
-		sim.maxCursors[o.Worker] = max(sim.maxCursors[o.Worker], o.AcknowledgedEnd)
-		o.AcknowledgedEnd = sim.maxCursors[o.Worker]
+	if sim.mutant.reusedAcknowledgements {
+		sim.maxAcknowledged[o.Worker] = max(sim.maxAcknowledged[o.Worker], o.AcknowledgedEnd)
+		o.AcknowledgedEnd = sim.maxAcknowledged[o.Worker]
 	}
 	var incarnation *workertest.Worker
-	if o.AcknowledgedEnd > 0 && !sim.mutant.reusedCursors && !sim.mutant.earlyAck && !sim.mutant.unboundCursors {
+	if o.AcknowledgedEnd > 0 && !sim.mutant.reusedAcknowledgements && !sim.mutant.earlyAck && !sim.mutant.unboundAcknowledgements {
 		reached := true
 		if incarnation, reached = sim.connectionTo(p, o.Worker, o.To); !reached {
 			sim.schedule(connectTime, func() {
@@ -165,11 +165,11 @@
 		a.NewestConnection = connections
 		sim.recordAcknowledged(target, before, o.AcknowledgedEnd)
 		return func() { p.core.HandleRenewal(o, a, sent, sim.now) }
-	}, func(v control.Result) { p.core.HandleRenewal(o, control.RenewalAnswer{Result: v}, sent, sim.now) })
+	}, func(res control.Result) { p.core.HandleRenewal(o, control.RenewalAnswer{Result: res}, sent, sim.now) })
 }
 
 // awaitEnd answers a delayed lease renewal once a run has ended or its wait is over. If the worker
-// dies meanwhile, the call gets no answer.
+// dies meanwhile, the planner gets Unanswered.
 func (sim *simulation) awaitEnd(p *planner, target *workertest.Worker, o control.RenewalOrder, connections int64, sent, until time.Time) {
 	sim.schedule(10*time.Millisecond, func() {
 		switch {
@@ -187,15 +187,16 @@
 	})
 }
 
-// recordAcknowledged records the done ends that a lease renewal has let the worker forget.
-func (sim *simulation) recordAcknowledged(target *workertest.Worker, rows []control.EndedRow, cursor int64) {
+// recordAcknowledged records the completed tasks whose ends the worker dropped because a lease
+// renewal acknowledged them.
+func (sim *simulation) recordAcknowledged(target *workertest.Worker, rows []control.EndedRow, acknowledged int64) {
 	for _, row := range rows {
-		if row.Number > max(cursor, target.AcknowledgedEnd()) || row.End != control.EndDone || row.Number <= target.LastVoidEnd() {
+		if row.Number > max(acknowledged, target.AcknowledgedEnd()) || row.End != control.EndDone || row.Number <= target.LastVoidEnd() {
 			continue
 		}
 		sim.recordDone(row.Task)
 		if sim.restartedAfterDone[runKey{row.Task, row.Run}] {
-			sim.violation("%v was started again although its end was acknowledged later", row.Task)
+			sim.violation("%v was started again after a completed run whose end was acknowledged later", row.Task)
 		}
 	}
 }
--- a/workload/control/simulation_test.go
+++ b/workload/control/simulation_test.go
@@ -71,8 +71,9 @@
 	listedBorn     map[string]int64
 	// unsettledRuns are the runs that a planner reported as ones whose state can't be resolved.
 	unsettledRuns []string
-	// maxCursors are the highest cursors sent to each worker, for mutant.reusedCursors.
-	maxCursors map[string]int64
+	// maxAcknowledged are the highest acknowledgements sent to each worker, for
+	// mutant.reusedAcknowledgements.
+	maxAcknowledged map[string]int64
 	// longPoll has workers delay answers to lease renewals until they have something to report.
 	longPoll bool
 	// registry is a worker list that heartbeats update and planners read late; nil is a list that
@@ -124,7 +125,7 @@
 		cancelledAt: map[workload.JobID]time.Time{}, unreachableUntil: map[string]time.Time{},
 		running: map[workload.TaskID]map[string]int64{}, doneRun: map[workload.TaskID]int64{},
 		acknowledgedDone: map[workload.TaskID]bool{}, failures: map[workload.TaskID]int{}, restartedAfterDone: map[runKey]bool{}, voidRuns: map[runKey]bool{}, delayedStarts: map[string]bool{},
-		entryExpiresAt: map[string]time.Time{}, listedBorn: map[string]int64{}, maxCursors: map[string]int64{},
+		entryExpiresAt: map[string]time.Time{}, listedBorn: map[string]int64{}, maxAcknowledged: map[string]int64{},
 	}
 	sim.fleet = &workertest.Fleet{Limits: simLimits, Step: sim.lookUpStep, Work: sim.randomWork, OnEvent: sim.checkEvent, OnCrash: sim.onCrash}
 	for i := range 6 {
@@ -333,7 +334,7 @@
 		sim.sendStop(p, o)
 	}
 	for _, o := range p.core.ThrottleOrders() {
-		sim.sendPace(p, o)
+		sim.sendThrottle(p, o)
 	}
 	for _, id := range p.core.WorkersToRenew(sim.now) {
 		if o, ok := p.core.NextRenewal(id, sim.now); ok {
--- a/workload/control/workers.go
+++ b/workload/control/workers.go
@@ -221,7 +221,8 @@
 	order := RenewalOrder{Worker: id, Address: w.Address, Incarnation: w.number, Number: w.renewalNumber, Token: w.token}
 	if w.reachable && !w.restartSuspected && w.persistedEnd > w.acknowledgedEnd {
 		// One acknowledgement is enough. It must not be sent while it is unknown which
-		// incarnation answers: another one would forget as many ends that nobody has read.
+		// incarnation answers: another one would drop as many ends that the planner has not
+		// read.
 		order.AcknowledgedEnd = w.persistedEnd
 		c.emit(Event{Name: EventEndsAcknowledged, Worker: id, Detail: fmt.Sprintf("before=%d cursor=%d seen=%d", w.acknowledgedEnd, w.persistedEnd, w.receivedEnd)})
 		order.To = w.recipient(now)
--- a/workload/decide/fitlimits_test.go
+++ b/workload/decide/fitlimits_test.go
@@ -48,8 +48,8 @@
 	return s
 }
 
-// The cached limits must not change a decision: a plan that searches anew for each unit is the
-// same.
+// The cached limits must not change a decision: a plan that searches without cached limits
+// for each unit must be the same.
 func TestFitLimitsDoNotChangeThePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawCrowded(t)
--- a/workload/decide/order.go
+++ b/workload/decide/order.go
@@ -36,7 +36,8 @@
 	return len(a.Indexes) < len(b.Indexes)
 }
 
-// lateness is the value that a unit still has if it starts now.
+// lateness is how late a unit would end if it started now: within its objective, late but still of
+// value, or worthless.
 type lateness int
 
 const (
--- a/workload/replay/arrivals.go
+++ b/workload/replay/arrivals.go
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, r := range p.Jobs {
-		out = append(out, p.recordedArrival(r, rng))
+		out = append(out, p.newRecordedJob(r, rng))
 	}
 	sort.SliceStable(out, func(a, b int) bool { return out[a].at < out[b].at })
 	for i, a := range out {
@@ -58,9 +58,9 @@
 // rate returns the arrival rate of a class at the given time, in jobs per second.
 func (p *Pattern) rate(c *Class, at time.Duration) float64 {
 	rate := c.PerSecond
-	for _, t := range p.Faults {
-		if t.Kind == Burst && t.Class == c.Name && at >= seconds(t.AtS) && at < seconds(t.AtS+t.ForS) {
-			rate *= t.Factor
+	for _, f := range p.Faults {
+		if f.Kind == Burst && f.Class == c.Name && at >= seconds(f.AtS) && at < seconds(f.AtS+f.ForS) {
+			rate *= f.Factor
 		}
 	}
 	return rate
@@ -72,9 +72,9 @@
 	total := 0.0
 	for i, a := range p.Accounts {
 		shares[i] = a.Share
-		for _, t := range p.Faults {
-			if t.Kind == Burst && t.Account == a.Name && at >= seconds(t.AtS) && at < seconds(t.AtS+t.ForS) {
-				shares[i] *= t.Factor
+		for _, f := range p.Faults {
+			if f.Kind == Burst && f.Account == a.Name && at >= seconds(f.AtS) && at < seconds(f.AtS+f.ForS) {
+				shares[i] *= f.Factor
 			}
 		}
 		total += shares[i]
@@ -102,7 +102,7 @@
 
 func (p *Pattern) generateJob(c *Class, at time.Duration, rng *rand.Rand) *scheduledJob {
 	a := &scheduledJob{at: at, class: c, neverSucceeds: rng.Float64() < c.NeverSucceeds}
-	a.job = &workload.Job{Account: p.drawAccount(at, rng), Queue: c.Name, QueueSettings: c.terms()}
+	a.job = &workload.Job{Account: p.drawAccount(at, rng), Queue: c.Name, QueueSettings: c.queueSettings()}
 	for step := range max(1, int(math.Round(c.Steps.sample(rng)))) {
 		s := workload.Step{
 			Count: max(1, int(math.Round(c.Width.sample(rng)))),
@@ -164,7 +164,9 @@
 	a.failures = append(a.failures, failures)
 }
 
-func (p *Pattern) recordedArrival(r RecordedJob, rng *rand.Rand) *scheduledJob {
+// newRecordedJob returns a recorded job with drawn run times. An unknown class counts as the first
+// one.
+func (p *Pattern) newRecordedJob(r RecordedJob, rng *rand.Rand) *scheduledJob {
 	c := &p.Classes[0]
 	for i := range p.Classes {
 		if p.Classes[i].Name == r.Class {
@@ -172,7 +174,7 @@
 		}
 	}
 	a := &scheduledJob{at: ms(r.AtMS), class: c}
-	a.job = &workload.Job{Account: domain.AccountID(r.Account), Queue: c.Name, QueueSettings: c.terms(), Steps: r.Steps}
+	a.job = &workload.Job{Account: domain.AccountID(r.Account), Queue: c.Name, QueueSettings: c.queueSettings(), Steps: r.Steps}
 	for i := range r.Steps {
 		p.shrinkGang(&a.job.Steps[i])
 		a.addStep(a.job.Steps[i], float64(max(r.Steps[i].EstimateMS, 50)), c, rng)
@@ -180,13 +182,13 @@
 	return a
 }
 
-func (c *Class) terms() workload.QueueSettings {
+func (c *Class) queueSettings() workload.QueueSettings {
 	return workload.QueueSettings{Service: poolService, Priority: c.Priority, MaxAttempts: c.Attempts, Stretch: c.Stretch, TargetMS: c.TargetMS}
 }
 
 // objective returns the time in which the job should complete: the duration of its critical path
-// on healthy workers, including runs that fail by the job's own fault, times the class's stretch,
-// plus the class's target.
+// on healthy workers, including the failed runs that the job itself causes, times the class's
+// stretch, plus the class's target.
 func (a *scheduledJob) objective() time.Duration {
 	chain := make([]time.Duration, len(a.runTimes))
 	criticalPath := time.Duration(0)
--- a/workload/replay/pattern.go
+++ b/workload/replay/pattern.go
@@ -90,8 +90,8 @@
 	Priority  int     `json:"priority"`
 	PerSecond float64 `json:"per_second"`
 	// Value is the credit for a job that completes within its objective, LateValue for one within
-	// three times the objective. The objective is Stretch times the duration of the job's longest
-	// chain, plus TargetMS.
+	// three times the objective. The objective is Stretch times the duration of the job's critical
+	// path, plus TargetMS.
 	Value     float64      `json:"worth"`
 	LateValue float64      `json:"late_worth"`
 	Stretch   float64      `json:"stretch"`
--- a/workload/replay/simulation.go
+++ b/workload/replay/simulation.go
@@ -152,7 +152,7 @@
 	}, sim.token, sim.now())
 	config := control.Configuration{Version: 1, Queues: map[string]workload.QueueSettings{}, Guaranteed: map[domain.AccountID]int64{}}
 	for i := range sim.pattern.Classes {
-		config.Queues[sim.pattern.Classes[i].Name] = sim.pattern.Classes[i].terms()
+		config.Queues[sim.pattern.Classes[i].Name] = sim.pattern.Classes[i].queueSettings()
 	}
 	for _, a := range sim.pattern.Accounts {
 		config.Guaranteed[domain.AccountID(a.Name)] = a.Guaranteed
--- a/workload/service/adaptive_timeout.go
+++ b/workload/service/adaptive_timeout.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// AdaptiveTimeout derives a timeout from the mean response time, so that an order whose answer was
+// AdaptiveTimeout derives a timeout from the mean response time, so that a call whose answer was
 // lost is repeated soon and one that is only slow is not.
 type AdaptiveTimeout struct {
-	// Max is the maximum timeout; 0 selects the default, which is meant for workers.
+	// Max is the maximum timeout; 0 means defaultMaxTimeout, which suits calls to workers.
 	Max time.Duration
 
 	mu   sync.Mutex
@@ -24,7 +24,8 @@
 	meanWeight = 0.1
 )
 
-// Observe records the duration of one call. A call without an answer counts with its timeout.
+// Observe records the duration of one call. For a call without an answer, the caller passes
+// the time for which it waited.
 func (a *AdaptiveTimeout) Observe(took time.Duration) {
 	a.mu.Lock()
 	a.mean += time.Duration(meanWeight * float64(took-a.mean))
--- a/workload/service/directory.go
+++ b/workload/service/directory.go
@@ -15,7 +15,7 @@
 	Prefix string
 	// Anonymous queues need no API key.
 	Anonymous bool
-	Terms     workload.QueueSettings
+	Settings  workload.QueueSettings
 }
 
 // Directory is one version of the configuration.
@@ -59,7 +59,7 @@
 func (d *Directory) Configuration() control.Configuration {
 	out := control.Configuration{Version: d.Version, Queues: map[string]workload.QueueSettings{}, Guaranteed: d.Guaranteed}
 	for _, q := range d.Queues {
-		out.Queues[q.Name] = q.Terms
+		out.Queues[q.Name] = q.Settings
 	}
 	return out
 }
--- a/workload/service/pool_test.go
+++ b/workload/service/pool_test.go
@@ -292,7 +292,7 @@
 type poolDecoder struct{}
 
 func (poolDecoder) Directory(string, []byte) (*Directory, bool, error) {
-	return &Directory{Version: 1, Queues: []Queue{{Name: "q", Terms: poolTerms}}}, true, nil
+	return &Directory{Version: 1, Queues: []Queue{{Name: "q", Settings: poolTerms}}}, true, nil
 }
 func (poolDecoder) Wave(string, []byte) (control.Wave, bool, error) {
 	return control.Wave{}, false, nil
--- a/workload/service/states.go
+++ b/workload/service/states.go
@@ -83,8 +83,8 @@
 var endPollPauses = []time.Duration{80 * time.Millisecond, 120 * time.Millisecond, 200 * time.Millisecond}
 
 // awaitEnd delays the answer about a running job for a moment and returns the newest entry.
-// Callers often ask right after the last task has ended, before the end is published; if they
-// are told that the job still runs, they ask again only much later.
+// Callers often ask right after the last task has ended, before the end is published; if the
+// answer is that the job still runs, they ask again only much later.
 func (s *Service) awaitEnd(ctx context.Context, id workload.JobID, e workload.Entry) workload.Entry {
 	for _, pause := range endPollPauses {
 		if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < 2*pause {
--- a/workload/workertest/crash_test.go
+++ b/workload/workertest/crash_test.go
@@ -45,10 +45,10 @@
 	}
 }
 
-// An end that its worker had reported to nobody when a task crashed the worker is void: the
-// planner can only restart the task (soak: a run of 598 ms is lost with its worker, another-life,
-// and restarted, five of fifty seeds). A gang's end is not void while the worker of another member
-// is alive.
+// An end that the worker had not reported when a task crashed the worker is void: the planner can
+// only restart the task. In five of fifty soak seeds, a run of 598 ms was lost with its worker
+// (another-life) and restarted. A gang's end is not void while the worker of another member is
+// alive.
 func TestUnacknowledgedEndsAreVoidAfterCrash(t *testing.T) {
 	for name, c := range map[string]struct {
 		gang, acked bool
